--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Reporting(Enum):
+class LoadReporting(Enum):
     """How figures of a far processor reach this agent."""
 
     NONE = "none"
@@ -18,7 +18,7 @@
     ON_PROBE = "on probe"
 
 
-class Listing(Enum):
+class ExchangeStatus(Enum):
     SERVING = "serving"
     DRAINING = "draining"
     GONE = "gone"
@@ -44,7 +44,7 @@
     NOT_SENT = "not sent"
 
 
-class Cause(Enum):
+class FailureCause(Enum):
     """Why a set-up was turned away, as far as the far side says."""
 
     UNSAID = "unsaid"
@@ -92,7 +92,7 @@
     agents: int = 1
     agent_index: int = 0
     is_mesh: bool = True
-    reporting: Reporting = Reporting.NONE
+    reporting: LoadReporting = LoadReporting.NONE
     may_probe: bool = False
     may_cancel: bool = False
     may_advise_redial: bool = False
@@ -151,7 +151,7 @@
 class ListedExchange:
     exchange: str
     number: int
-    listing: Listing = Listing.SERVING
+    status: ExchangeStatus = ExchangeStatus.SERVING
     zone: str = ""
     kind: str = ""
     rating: float = 1.0
@@ -159,7 +159,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """Figures towards one exchange; None where absent. The circuits are prompt, the rest late."""
 
     free_circuits: int | None = None
@@ -210,9 +210,9 @@
     ending: Ending
     delay_ns: int = 0
     call_over: bool = False
-    cause: Cause = Cause.UNSAID
+    cause: FailureCause = FailureCause.UNSAID
     told_wait_ns: int = 0
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -227,11 +227,11 @@
     exchange: str
     ending: Ending
     delay_ns: int = 0
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class TimerRang:
+class TimerExpired:
     label: int
 
 
@@ -248,7 +248,7 @@
     | AttemptEnded
     | CallerLeft
     | ProbeAnswer
-    | TimerRang
+    | TimerExpired
     | PeerMessage
 )
 
--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -16,9 +16,9 @@
 SHARED_CONNECTIONS_SHARE = 0.36  # where a successor and its forerunner run at once, within one set of limits
 PROGRAM_BYTES = 18 << 20  # what the program itself takes
 LIFECYCLES = {
-    "up": it.Listing.SERVING,
-    "draining": it.Listing.DRAINING,
-    "removed": it.Listing.GONE,
+    "up": it.ExchangeStatus.SERVING,
+    "draining": it.ExchangeStatus.DRAINING,
+    "removed": it.ExchangeStatus.GONE,
 }
 
 
@@ -143,13 +143,13 @@
         listed = it.ListedExchange(
             exchange=identity,
             number=int(raw["cell"]),
-            listing=LIFECYCLES[lifecycle],
+            status=LIFECYCLES[lifecycle],
             zone=str(raw.get("zone", "")),
             kind=str(raw.get("machineType", "")),
             rating=float(raw.get("weight", 1.0)),
             started_ns=clock.monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
-        gone = listed.listing is it.Listing.GONE
+        gone = listed.status is it.ExchangeStatus.GONE
         return Entry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
     except KeyError as error:
         raise MalformedListUpdateError(f"{error.args[0]}: missing") from None
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -165,7 +165,7 @@
                 if record is not None and record.attempts - 1 == attempt:
                     self.abandon(call, record, it.Ending.CALLED_OFF)
             case it.SetTimer(after_ns, label):
-                self.ring_at(now + after_ns, lambda: self.tell(it.TimerRang(label)))
+                self.ring_at(now + after_ns, lambda: self.tell(it.TimerExpired(label)))
             case it.Note(text):
                 log.debug(text)
             case it.Probe() | it.FollowList():
@@ -352,9 +352,9 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSAID,
         wait_ns: int = 0,
-        report: it.Report | None = None,
+        report: it.LoadReport | None = None,
     ) -> None:
         record = self.calls.get(call)
         if record is None or record.pool is None or record.established_ns:
@@ -391,7 +391,7 @@
         self.metrics.passed[record.offer.class_name] += 1
         self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_ns))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
+    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None) -> None:
         """The release of a call that stands, also of one that stood before our start."""
         record = self.calls.get(call)
         if record is None:
@@ -409,7 +409,7 @@
     def set_up_left(self) -> None:
         self.metrics.upstream_tries += 1
 
-    def group_state(self, exchange: str, report: it.Report | None) -> None:
+    def group_state(self, exchange: str, report: it.LoadReport | None) -> None:
         self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -52,12 +52,12 @@
     def connection_heard(self, connection: ExchangeConnection) -> None: ...
     def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None: ...
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None: ...
     def released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None: ...
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None: ...
+    def state_told(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None: ...
 
 
 class ExchangeConnection(MessageConnection):
@@ -169,7 +169,7 @@
         ending = ENDINGS.get(cause, it.Ending.NUMBER_BUSY)
         self.events.attempt_ended(message.call, ending, *wire.read_cause(note), report)
 
-    def report(self, message: Message) -> it.Report | None:
+    def report(self, message: Message) -> it.LoadReport | None:
         figures = message.figures(Code.REPORT)
         if not figures:
             return None
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -47,12 +47,14 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSAID,
         wait_ns: int = 0,
-        report: it.Report | None = None,
+        report: it.LoadReport | None = None,
     ) -> None: ...
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None: ...
-    def group_state(self, exchange: str, report: it.Report | None) -> None: ...
+    def exchange_ended(
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
+    ) -> None: ...
+    def group_state(self, exchange: str, report: it.LoadReport | None) -> None: ...
     def exchange_connected(self, pool: ExchangePool) -> None: ...
     def exchange_died(self, pool: ExchangePool) -> None: ...
     def dial_failed(self) -> None: ...
@@ -228,18 +230,18 @@
         self.liveness.established(connection.number, call, circuits)
 
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None:
         self.handler.attempt_ended(call, ending, cause, wait_ns, report)
 
     def released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None:
         if cause == ReleaseCause.NORMAL:
             self.liveness.completed(connection.number, call)
         self.handler.exchange_ended(self, call, cause, report)
 
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None:
+    def state_told(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None:
         """Every connection is told each state: one that does not get what another has got is mute.
 
         The decisions hear it once: a second copy would undo what they have counted off for set-ups since.
--- a/arrowkeel/net/membership.py
+++ b/arrowkeel/net/membership.py
@@ -58,13 +58,13 @@
                 "exchange listed",
                 seq=update.seq,
                 exchange=entry.listed.exchange,
-                listing=entry.listed.listing.value,
+                listing=entry.listed.status.value,
             )
         self.handler.exchanges_listed(it.ExchangeList(kind, tuple(entry.listed for entry in update.entries)))
 
     def apply_entry(self, entry: Entry) -> None:
         exchange, address = entry.listed.exchange, entry.address
-        if entry.listed.listing is it.Listing.GONE or address is None:
+        if entry.listed.status is it.ExchangeStatus.GONE or address is None:
             self.remove(exchange)
             return
         self.remove_replaced(exchange, address)
@@ -74,7 +74,7 @@
         elif entry.listed.started_ns > self.started_ns.get(exchange, 0):
             self.handler.process_gone(pool, entry.listed.started_ns, ReleaseReason.RESTARTED)
         self.started_ns[exchange] = entry.listed.started_ns
-        pool.set_serving(entry.listed.listing is it.Listing.SERVING)
+        pool.set_serving(entry.listed.status is it.ExchangeStatus.SERVING)
         if not pool.connections:
             pool.dial()
 
--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -73,7 +73,7 @@
         self.asked = FirstTimes(settings.longest_give_up_ns)
         self.numbers: list[int] = []
         self.turned_back = 0.0  # share of the latest tandem attempts, whatever their destination
-        self.hot, self.asks = False, settings.may_probe and settings.reporting is it.Reporting.ON_PROBE
+        self.hot, self.asks = False, settings.may_probe and settings.reporting is it.LoadReporting.ON_PROBE
         self.began_at = self.seen_at = self.came_at = self.timer_at = self.stalled_at = self.ask_at = 0
         self.out: list[it.Action] = []
         self.handlers: dict[type, Callable[[Any, int], None]] = {
@@ -112,7 +112,7 @@
         for entry in event.entries:
             new = Far(entry.exchange, entry.number, Processor(self.crowd, self.pace))
             far = self.far.setdefault(entry.exchange, new)
-            far.number, far.serving = entry.number, entry.listing is it.Listing.SERVING
+            far.number, far.serving = entry.number, entry.status is it.ExchangeStatus.SERVING
             for cpu in (far.cpu, self.own) if far.number == self.settings.own_number else (far.cpu,):
                 if entry.started_ns > cpu.started:  # its bucket starts filled at random: nobody in step
                     cpu.begin_anew(entry.started_ns, now)
@@ -126,7 +126,7 @@
         self.far = {f.exchange: f for f in self.far.values() if f.serving or self.by_number[f.number] is f}
         self.numbers = sorted(self.by_number.keys() - {self.settings.own_number})
 
-    def read_report(self, exchange: str, report: it.Report | None, now: int) -> None:
+    def read_report(self, exchange: str, report: it.LoadReport | None, now: int) -> None:
         far = self.far.get(exchange)
         if far is None or report is None:
             return
@@ -401,7 +401,11 @@
         self.learn_ending(call, sent_to, event, now)
         if event.call_over:
             self.forget(call.id)
-        elif event.ending is it.Ending.COMPLETED or event.cause is it.Cause.LINES_BUSY or now >= call.ends:
+        elif (
+            event.ending is it.Ending.COMPLETED
+            or event.cause is it.FailureCause.LINES_BUSY
+            or now >= call.ends
+        ):
             self.forget(call.id, it.Fail(call.id))  # another error is a signalling fault: it goes again
         else:
             if event.ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
@@ -415,13 +419,13 @@
             unheard = cpu.missed > 1 and cpu.heard_at < now - cpu.valid_ns // 2
             if unheard or event.ending is it.Ending.NO_CONNECTION:
                 cpu.miss(now, self.spread())
-        elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.PROCESSOR_FULL:
+        elif event.ending is it.Ending.NOT_SENT and event.cause is it.FailureCause.PROCESSOR_FULL:
             call.not_before = now + TRIAL_GAP_NS  # the own processor is down
-        elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.NO_CIRCUIT:
+        elif event.ending is it.Ending.NOT_SENT and event.cause is it.FailureCause.NO_CIRCUIT:
             far.free = 0  # not where it came too late or the exchange drains: the group has not changed
         elif event.ending is it.Ending.NUMBER_BUSY:
             cpu.hear(now)
-            if event.cause is it.Cause.LINES_BUSY:
+            if event.cause is it.FailureCause.LINES_BUSY:
                 self.busy.shut_again(call.event.number_called, now, self.spread())
             else:
                 call.faulted = True
@@ -429,8 +433,8 @@
                     self.weigh(dest, far, now, stood=False)
         elif event.ending is it.Ending.TURNED_AWAY:
             cpu.hear(now)
-            if event.cause in (it.Cause.PROCESSOR_FULL, it.Cause.BEYOND_FULL):
-                full = cpu if event.cause is it.Cause.PROCESSOR_FULL else dest.cpu
+            if event.cause in (it.FailureCause.PROCESSOR_FULL, it.FailureCause.BEYOND_FULL):
+                full = cpu if event.cause is it.FailureCause.PROCESSOR_FULL else dest.cpu
                 full.told, full.told_at = R, now  # its wait is beyond any aim: no set-up until it has drained
                 self.watched.update({far.exchange: far, dest.exchange: dest})
             if far is not dest:
--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -19,17 +19,21 @@
     "not_sent": it.Ending.NOT_SENT,
 }
 CAUSES = {
-    0: it.Cause.UNSAID,
-    1: it.Cause.NO_CIRCUIT,
-    2: it.Cause.TURNED_BACK,
-    3: it.Cause.PROCESSOR_FULL,
-    4: it.Cause.LINES_BUSY,
+    0: it.FailureCause.UNSAID,
+    1: it.FailureCause.NO_CIRCUIT,
+    2: it.FailureCause.TURNED_BACK,
+    3: it.FailureCause.PROCESSOR_FULL,
+    4: it.FailureCause.LINES_BUSY,
 }
 CODE_MASK = 16
 BEYOND_FULL_CODE = 18
 PROCESSOR_FULL_CODE = 3
 MS = 1_000_000
-LISTINGS = {"IN": it.Listing.SERVING, "LAME": it.Listing.DRAINING, "OUT": it.Listing.GONE}
+LISTINGS = {
+    "IN": it.ExchangeStatus.SERVING,
+    "LAME": it.ExchangeStatus.DRAINING,
+    "OUT": it.ExchangeStatus.GONE,
+}
 LIST_KINDS = {
     "diff": it.ListKind.CHANGES,
     "snapshot": it.ListKind.COMPLETE,
@@ -37,11 +41,11 @@
     "error": it.ListKind.FAILED,
 }
 REPORTING = {
-    "none": it.Reporting.NONE,
-    "answers": it.Reporting.IN_ANSWERS,
-    "probe": it.Reporting.ON_PROBE,
+    "none": it.LoadReporting.NONE,
+    "answers": it.LoadReporting.IN_ANSWERS,
+    "probe": it.LoadReporting.ON_PROBE,
 }
-# Wire name of a report value: field of Report, factor to the field's unit.
+# Wire name of a report value: field of LoadReport, factor to the field's unit.
 REPORT_FIELDS = {
     "idle": ("free_circuits", 1.0),
     "circuits": ("group_size", 1.0),
@@ -121,7 +125,7 @@
     return choices[value]
 
 
-def read_report(fields: Mapping[str, str], names: tuple[str, ...]) -> it.Report | None:
+def read_report(fields: Mapping[str, str], names: tuple[str, ...]) -> it.LoadReport | None:
     row = fields.get("load")
     if row is None or row == "":
         return None
@@ -137,21 +141,21 @@
         if value >= 0 and value != float("inf"):  # -1 and what is no figure at all count as absent
             target, factor = known
             values[target] = int(value) if target in WHOLE_FIELDS else value * factor
-    return it.Report(**values)
+    return it.LoadReport(**values)
 
 
-def read_cause(code: int) -> tuple[it.Cause, int]:
+def read_cause(code: int) -> tuple[it.FailureCause, int]:
     if code == BEYOND_FULL_CODE:
-        return it.Cause.BEYOND_FULL, 0
+        return it.FailureCause.BEYOND_FULL, 0
     low, wait_ms = code % CODE_MASK, code // CODE_MASK
-    return CAUSES.get(low, it.Cause.UNSAID), wait_ms * MS if low == PROCESSOR_FULL_CODE else 0
+    return CAUSES.get(low, it.FailureCause.UNSAID), wait_ms * MS if low == PROCESSOR_FULL_CODE else 0
 
 
 def read_entry(fields: Mapping[str, str]) -> it.ListedExchange:
     return it.ListedExchange(
         exchange=text(fields, "exchange"),
         number=whole(fields, "placeNo"),
-        listing=one_of(fields, "health", LISTINGS),
+        status=one_of(fields, "health", LISTINGS),
         zone=fields.get("locality", ""),
         kind=fields.get("shape", ""),
         rating=number(fields, "rating", 1.0),
@@ -197,7 +201,7 @@
     if name == "LAPSED":
         return it.CallerLeft(text(fields, "msgId"))
     if name == "REMINDER":
-        return it.TimerRang(whole(fields, "label"))
+        return it.TimerExpired(whole(fields, "label"))
     if name == "PROBED":
         return it.ProbeAnswer(
             exchange=text(fields, "exchange"),
@@ -247,7 +251,7 @@
         agents=int(raw.get("groupSize", 1)),
         agent_index=int(raw.get("rank", 0)),
         is_mesh=family.get("layout", "network") == "network",
-        reporting=REPORTING.get((raw.get("report") or {}).get("how", "none"), it.Reporting.NONE),
+        reporting=REPORTING.get((raw.get("report") or {}).get("how", "none"), it.LoadReporting.NONE),
         may_probe=bool(allowed.get("probes", False)),
         may_cancel=bool(allowed.get("cancel", False)),
         may_advise_redial=bool(allowed.get("retryAfter", False)),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,11 +54,11 @@
         end = self.now + int(ms * MS)
         while self.now < end:
             self.now = min(end, self.now + int(step_ms * MS))
-            actions += self.tell(it.TimerRang(0))
+            actions += self.tell(it.TimerExpired(0))
         return actions
 
     def circuits(self, exchange: str, free: int, size: int = 60) -> list[it.Action]:
-        return self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, it.Report(free, size)))
+        return self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, it.LoadReport(free, size)))
 
     def offer(self, destination: int, **changes: object) -> tuple[str, list[it.Action]]:
         self.serial += 1
@@ -76,7 +76,7 @@
         call: str,
         exchange: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSAID,
         attempt: int = 0,
         call_over: bool = False,
     ) -> list[it.Action]:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -15,7 +15,7 @@
     """Incident i6a95c2: the same call went straight back to the processor that had turned it away."""
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    actions = driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    actions = driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
     driver.wait(25)
     others = [action for _ in range(20) for action in driver.offer(2)[1]]
     assert "x2" not in sent(others)
@@ -27,7 +27,7 @@
     driver.circuits("x2", 0)
     call, actions = driver.offer(2)
     tandem = sent(actions, call)[0]
-    driver.end(call, tandem, it.Ending.TURNED_AWAY, it.Cause.BEYOND_FULL)
+    driver.end(call, tandem, it.Ending.TURNED_AWAY, it.FailureCause.BEYOND_FULL)
     driver.wait(25)
     assert not sent(driver.offer(2)[1])
     assert sent(driver.offer(int(tandem[1:]))[1]) == [tandem]
@@ -36,7 +36,7 @@
 def test_a_busy_number_is_gapped_and_its_exchange_is_not() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2, number_called="hot")
-    driver.end(call, "x2", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
+    driver.end(call, "x2", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
     again, actions = driver.offer(2, number_called="hot")
     assert not sent(actions) and answers(actions, again)
     assert sent(driver.offer(2)[1]) == ["x2"]
@@ -145,12 +145,12 @@
 @pytest.mark.parametrize(
     ("reporting", "report"),
     [
-        (it.Reporting.IN_ANSWERS, it.Report(20, 60, hold_back_share=0.9)),
-        (it.Reporting.ON_PROBE, it.Report(20, 60, wait_ns=2e9)),
-        (it.Reporting.IN_ANSWERS, it.Report(20, 60, busy_share=5.0, queued=1e12)),
+        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, hold_back_share=0.9)),
+        (it.LoadReporting.ON_PROBE, it.LoadReport(20, 60, wait_ns=2e9)),
+        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, busy_share=5.0, queued=1e12)),
     ],
 )
-def test_a_reported_load_holds_calls_back(reporting: it.Reporting, report: it.Report) -> None:
+def test_a_reported_load_holds_calls_back(reporting: it.LoadReporting, report: it.LoadReport) -> None:
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=reporting, may_probe=True))
     driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, report))
     driver.wait(25)
@@ -159,13 +159,13 @@
 
 
 def test_reports_without_processor_figures_are_not_load() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
+    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
     assert len(sent([a for _ in range(15) for a in driver.offer(2)[1]])) == 15
 
 
 def test_contradictory_events_are_borne() -> None:
     driver = PolicyDriver()
-    twice = (it.ListedExchange("x2", 2), it.ListedExchange("x2", 2, it.Listing.DRAINING))
+    twice = (it.ListedExchange("x2", 2), it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING))
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, twice), it.ExchangeList(it.ListKind.FAILED))
     driver.circuits("x1", 90, size=60)
     driver.end("never", "x1", it.Ending.CUT)
@@ -196,7 +196,7 @@
 def test_a_call_to_a_gone_or_unknown_exchange_is_answered_at_once() -> None:
     """A call is held only while it can still be sent and stand, never to keep its caller from redialling."""
     driver = PolicyDriver()
-    driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.GONE),)))
+    driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.GONE),)))
     for destination in (2, 77):
         call, actions = driver.offer(destination)
         assert refused_at_once(actions, call)
@@ -209,7 +209,9 @@
     assert refused_at_once(actions, call)
     call, _ = driver.offer(1)
     driver.wait(200)
-    actions = driver.end(call, "x1", it.Ending.NOT_SENT, it.Cause.PROCESSOR_FULL)  # the own one is down
+    actions = driver.end(
+        call, "x1", it.Ending.NOT_SENT, it.FailureCause.PROCESSOR_FULL
+    )  # the own one is down
     assert refused_at_once(actions, call)
 
 
@@ -220,7 +222,7 @@
     for attempt in range(2):
         assert not answers(actions)
         tandem = sent(actions, call)[0]
-        actions = driver.end(call, tandem, it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK, attempt)
+        actions = driver.end(call, tandem, it.Ending.TURNED_AWAY, it.FailureCause.TURNED_BACK, attempt)
     assert refused_at_once(actions, call)
 
 
@@ -235,7 +237,7 @@
     driver = PolicyDriver()
     cpu = driver.policy.far["x2"].cpu
     first, _ = driver.offer(2)
-    driver.end(first, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    driver.end(first, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(first))
     driver.wait(25)
     assert cpu.valid_until - driver.now > 1500 * MS, "nothing out, no reports: shut for the validity time"
@@ -261,7 +263,7 @@
     for _ in range(400):
         call, actions = driver.offer(2)
         if sent(actions):
-            driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+            driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
         driver.wait(50)
     cpu = driver.policy.far["x2"].cpu
     assert cpu.sent.rate(driver.now) < cpu.asked.rate(driver.now) / 5 and cpu.validity(driver.now) == 2 * S
@@ -275,7 +277,7 @@
         driver = PolicyDriver(settings=settings)
         for _ in range(10):
             call, _ = driver.offer(2)
-            driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+            driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
             driver.tell(it.CallerLeft(call))
         driver.wait(25)
         left.append(driver.policy.far["x2"].cpu.valid_until - driver.now)
@@ -284,10 +286,10 @@
 
 def test_in_overload_below_h_the_rate_rises_at_once_to_an_even_share_of_what_is_reported() -> None:
     """From one set-up a second it grew for five seconds while the processor answered within 30 ms."""
-    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
+    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
     call, _ = driver.offer(2)
-    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
-    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.Report(20, 60, accepted_per_s=60.0)))
+    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.LoadReport(20, 60, accepted_per_s=60.0)))
     went = 0
     for _ in range(200):  # five seconds, two of them in blocking
         for action in driver.offer(2)[1] + driver.wait(25):
@@ -335,8 +337,10 @@
     assert not [a for a in actions if isinstance(a, it.CancelAttempt)]
 
 
-@pytest.mark.parametrize(("cause", "room"), [(it.Cause.UNSAID, True), (it.Cause.NO_CIRCUIT, False)])
-def test_what_left_too_late_says_nothing_of_the_group(cause: it.Cause, room: bool) -> None:
+@pytest.mark.parametrize(
+    ("cause", "room"), [(it.FailureCause.UNSAID, True), (it.FailureCause.NO_CIRCUIT, False)]
+)
+def test_what_left_too_late_says_nothing_of_the_group(cause: it.FailureCause, room: bool) -> None:
     """On sockets a set-up that waited past its time is not sent either; the group has room as before."""
     driver = PolicyDriver()
     call, _ = driver.offer(2)
@@ -353,7 +357,7 @@
         actions = driver.end(call, "x2", it.Ending.NUMBER_BUSY, attempt=attempt)
     assert answers(actions, call) == [it.Refuse(call, SETTINGS.release_ns)]  # nobody to make room for
     call, _ = driver.offer(2)
-    actions = driver.end(call, "x2", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
+    actions = driver.end(call, "x2", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
     assert answers(actions, call) == [it.Fail(call)]
 
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -39,10 +39,10 @@
     ) -> None:
         self.told.put_nowait(("stood", call))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
+    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None) -> None:
         self.told.put_nowait(("released", call, cause))
 
-    def group_state(self, exchange: str, report: it.Report | None) -> None:
+    def group_state(self, exchange: str, report: it.LoadReport | None) -> None:
         self.told.put_nowait(("state", report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -146,7 +146,10 @@
         told: list[tuple[Any, ...]] = []
         while told.count(("released", OTHER, 16)) < len(lines):
             told.append(await events.told.get())
-        assert [fact[1] for fact in told if fact[0] == "state"] == [it.Report(40, 60), it.Report(7, 60)]
+        assert [fact[1] for fact in told if fact[0] == "state"] == [
+            it.LoadReport(40, 60),
+            it.LoadReport(7, 60),
+        ]
 
     play(far.address, story)
 
@@ -202,17 +205,17 @@
 @pytest.mark.parametrize(
     ("cause", "note", "wanted"),
     [
-        (34, "tandem_refused", (it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK)),
-        (34, "destination_full", (it.Ending.TURNED_AWAY, it.Cause.BEYOND_FULL)),
-        (34, "processor_full", (it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)),
-        (102, "group_full", (it.Ending.NOT_SENT, it.Cause.NO_CIRCUIT)),
-        (17, "user_busy", (it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)),
-        (47, "", (it.Ending.NUMBER_BUSY, it.Cause.UNSAID)),
-        (41, "", (it.Ending.CUT, it.Cause.UNSAID)),
+        (34, "tandem_refused", (it.Ending.TURNED_AWAY, it.FailureCause.TURNED_BACK)),
+        (34, "destination_full", (it.Ending.TURNED_AWAY, it.FailureCause.BEYOND_FULL)),
+        (34, "processor_full", (it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)),
+        (102, "group_full", (it.Ending.NOT_SENT, it.FailureCause.NO_CIRCUIT)),
+        (17, "user_busy", (it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)),
+        (47, "", (it.Ending.NUMBER_BUSY, it.FailureCause.UNSAID)),
+        (41, "", (it.Ending.CUT, it.FailureCause.UNSAID)),
     ],
 )
 def test_each_refusal_means_what_the_adapter_would_tell(
-    cause: int, note: str, wanted: tuple[it.Ending, it.Cause]
+    cause: int, note: str, wanted: tuple[it.Ending, it.FailureCause]
 ) -> None:
     far, ended = Listener(), []
 
@@ -230,7 +233,7 @@
             pass
 
     play(far.address, story)
-    assert ended == [(CALL, wanted[0], wanted[1], 0, it.Report(3, 9))]
+    assert ended == [(CALL, wanted[0], wanted[1], 0, it.LoadReport(3, 9))]
 
 
 def test_the_normal_end_of_an_earlier_attempt_does_not_end_the_one_that_is_out() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -52,7 +52,7 @@
             for call, (exchange, attempt) in list(self.out.items()):
                 if self.now >= self.ends[call]:
                     self.end(call, exchange, attempt, it.Ending.NO_ANSWER)
-            self.tell(it.TimerRang(0))
+            self.tell(it.TimerExpired(0))
 
     def end(self, call: str, exchange: str, attempt: int, ending: it.Ending) -> None:
         del self.out[call]
@@ -79,12 +79,12 @@
             number = 1 + pick % 4
             serving = pick % 3 > 0
             (self.serving.add if serving else self.serving.discard)(f"x{number}")
-            listing = it.Listing.SERVING if serving else it.Listing.DRAINING
+            listing = it.ExchangeStatus.SERVING if serving else it.ExchangeStatus.DRAINING
             self.tell(
                 it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange(f"x{number}", number, listing),))
             )
         elif what == "free":
-            report = it.Report(pick % 30, 30)
+            report = it.LoadReport(pick % 30, 30)
             self.tell(it.ProbeAnswer(f"x{1 + pick % 4}", it.Ending.COMPLETED, 0, report))
         elif what == "wait":
             self.wait(pick % 400)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,8 +65,8 @@
     assert not sent(late + driver.wait(2900), call)
 
 
-@pytest.mark.parametrize("listing", [it.Listing.DRAINING, it.Listing.GONE])
-def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(listing: it.Listing) -> None:
+@pytest.mark.parametrize("listing", [it.ExchangeStatus.DRAINING, it.ExchangeStatus.GONE])
+def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(listing: it.ExchangeStatus) -> None:
     driver = PolicyDriver()
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, listing),)))
     actions = [action for _ in range(20) for action in driver.offer(2)[1] + driver.wait(100)]
@@ -78,7 +78,9 @@
 def test_rule_3_a_held_call_does_not_go_to_an_exchange_that_began_to_drain() -> None:
     driver = PolicyDriver(free=0)
     call, _ = driver.offer(2)
-    driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.DRAINING),)))
+    driver.tell(
+        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING),))
+    )
     assert "x2" not in sent(driver.circuits("x2", 20) + driver.wait(2000), call)
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -37,10 +37,10 @@
 def test_in_overload_sixty_agents_do_not_each_let_a_call_go_at_once() -> None:
     went = 0
     for seed in range(AGENTS):
-        driver = PolicyDriver(settings=replace(CROWDED, reporting=it.Reporting.IN_ANSWERS))
+        driver = PolicyDriver(settings=replace(CROWDED, reporting=it.LoadReporting.IN_ANSWERS))
         driver.policy = Policy(driver.settings, seed)
         driver.tell(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
-        driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.Report(20, 60, hold_back_share=0.3)))
+        driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, hold_back_share=0.3)))
         driver.wait(25)
         went += len(sent(driver.offer(2)[1]))
     assert went < AGENTS / 2
@@ -108,8 +108,8 @@
 
 
 def test_one_lost_answer_is_no_pressure_where_load_is_reported() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
-    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.Report(20, 60, hold_back_share=0.0)))
+    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
+    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, hold_back_share=0.0)))
     driver.offer(2)
     driver.wait(1500)
     assert sent(driver.offer(2)[1]) == ["x2"]
@@ -141,11 +141,11 @@
 def test_state_stays_bounded_when_machines_and_numbers_change_all_day() -> None:
     driver = PolicyDriver()
     for turn in range(300):
-        gone = it.ListedExchange(f"m{turn}", 2, it.Listing.GONE)
+        gone = it.ListedExchange(f"m{turn}", 2, it.ExchangeStatus.GONE)
         fresh = it.ListedExchange(f"m{turn + 1}", 2, started_ns=driver.now)
         driver.tell(it.ExchangeList(it.ListKind.CHANGES, (gone, fresh)))
         call, _ = driver.offer(1, number_called=f"busy-{turn}")
-        driver.end(call, "x1", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
+        driver.end(call, "x1", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
         driver.circuits("x1", 20)
         driver.wait(1000, step_ms=500)
     policy = driver.policy
@@ -165,7 +165,7 @@
             for attempt in range(2):
                 tandems = sent(actions, call)
                 actions = (
-                    driver.end(call, tandems[0], it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK, attempt)
+                    driver.end(call, tandems[0], it.Ending.TURNED_AWAY, it.FailureCause.TURNED_BACK, attempt)
                     if tandems
                     else []
                 )
@@ -175,7 +175,7 @@
 
 def test_answered_probes_do_not_keep_an_old_delay_fresh() -> None:
     """Issue 11: blocking provoked probes, their answers renewed the delay that blocked: it never ended."""
-    driver = PolicyDriver(settings=replace(CROWDED, reporting=it.Reporting.ON_PROBE, may_probe=True))
+    driver = PolicyDriver(settings=replace(CROWDED, reporting=it.LoadReporting.ON_PROBE, may_probe=True))
     call, _ = driver.offer(3)
     driver.stand(call, "x3", delay_ms=40)
     call, _ = driver.offer(2)
@@ -187,7 +187,7 @@
         for action in driver.wait(100):
             if isinstance(action, it.Probe) and action.exchange == "x2":
                 driver.tell(
-                    it.ProbeAnswer("x2", it.Ending.COMPLETED, 20 * MS, it.Report(20, 60, wait_ns=0.0))
+                    it.ProbeAnswer("x2", it.Ending.COMPLETED, 20 * MS, it.LoadReport(20, 60, wait_ns=0.0))
                 )
     assert sent(driver.offer(2)[1]) == ["x2"]
 
@@ -196,11 +196,11 @@
     """Issue 11: entries blocking or silent when the list dropped their exchange met its return so."""
     driver = PolicyDriver(settings=CROWDED)
     call, _ = driver.offer(2)
-    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
     driver.policy.far["x3"].cpu.miss(driver.now, 1.0)
-    gone = tuple(it.ListedExchange(f"x{number}", number, it.Listing.GONE) for number in (2, 3))
+    gone = tuple(it.ListedExchange(f"x{number}", number, it.ExchangeStatus.GONE) for number in (2, 3))
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, gone))
     driver.wait(500)
     back = tuple(it.ListedExchange(f"x{n}", n, started_ns=driver.now - 14 * S) for n in (2, 3))
@@ -213,10 +213,12 @@
 def test_an_entry_that_blocked_lapses_while_its_exchange_is_off_the_list() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
-    driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.DRAINING),)))
+    driver.tell(
+        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING),))
+    )
     driver.wait(8000)
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2),)))
     assert sent(driver.offer(2)[1]) == ["x2"]
@@ -269,7 +271,7 @@
 def test_far_ends_are_probed_no_more_often_the_more_agents_are_in_doubt(agents: int) -> None:
     """Issue 11: 2000 probes a second, most of them turned away, beside 850 calls."""
     probes = 0
-    settings = replace(CROWDED, agents=agents, reporting=it.Reporting.ON_PROBE, may_probe=True)
+    settings = replace(CROWDED, agents=agents, reporting=it.LoadReporting.ON_PROBE, may_probe=True)
     for seed in range(agents):
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -77,7 +77,7 @@
 
 def test_absent_figures_are_not_load() -> None:
     report = wire.read_report({"load": "4,60,-1,-1,nan"}, ("idle", "circuits", "latency_ms", "queue", "util"))
-    assert report == it.Report(free_circuits=4, group_size=60)
+    assert report == it.LoadReport(free_circuits=4, group_size=60)
 
 
 def test_a_cut_off_batch_is_named_and_ends_with_status_0() -> None:
@@ -101,14 +101,14 @@
 @pytest.mark.parametrize(
     ("code", "cause", "wait_ns"),
     [
-        (1, it.Cause.NO_CIRCUIT, 0),
-        (2, it.Cause.TURNED_BACK, 0),
-        (18, it.Cause.BEYOND_FULL, 0),
-        (3 + 16 * 40, it.Cause.PROCESSOR_FULL, 40_000_000),
-        (4, it.Cause.LINES_BUSY, 0),
+        (1, it.FailureCause.NO_CIRCUIT, 0),
+        (2, it.FailureCause.TURNED_BACK, 0),
+        (18, it.FailureCause.BEYOND_FULL, 0),
+        (3 + 16 * 40, it.FailureCause.PROCESSOR_FULL, 40_000_000),
+        (4, it.FailureCause.LINES_BUSY, 0),
     ],
 )
-def test_causes(code: int, cause: it.Cause, wait_ns: int) -> None:
+def test_causes(code: int, cause: it.FailureCause, wait_ns: int) -> None:
     assert wire.read_cause(code) == (cause, wait_ns)
 
 
