--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -36,21 +36,21 @@
 
     COMPLETED = "completed"
     NUMBER_BUSY = "number busy"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     NO_ANSWER = "no answer"
     NO_CONNECTION = "no connection"
-    CUT = "cut"
-    CALLED_OFF = "called off"
+    INTERRUPTED = "cut"
+    CANCELLED = "called off"
     NOT_SENT = "not sent"
 
 
 class FailureCause(Enum):
     """Why a set-up was turned away, as far as the far side says."""
 
-    UNSAID = "unsaid"
+    UNSPECIFIED = "unsaid"
     NO_CIRCUIT = "no circuit"
-    TURNED_BACK = "turned back by the tandem"
-    BEYOND_FULL = "processor beyond the tandem full"
+    RETURNED_BY_TANDEM = "turned back by the tandem"
+    PROCESSOR_BEYOND_TANDEM_FULL = "processor beyond the tandem full"
     PROCESSOR_FULL = "processor full"
     LINES_BUSY = "all lines of the number busy"
 
@@ -58,13 +58,13 @@
 class RefusalReason(Enum):
     """Why a call was refused; for logs and metrics, it changes nothing that is sent."""
 
-    UNSAID = "unsaid"
+    UNSPECIFIED = "unsaid"
     NUMBER_GAPPED = "number gapped"
     NO_ROUTE = "no route"
     ATTEMPTS_USED = "attempts used"
-    OWN_PROCESSOR = "own processor pressed"
-    FAR_PROCESSOR = "far processor pressed"
-    FAR_SILENT = "far end silent"
+    LOCAL_OVERLOAD = "own processor pressed"
+    REMOTE_OVERLOAD = "far processor pressed"
+    REMOTE_SILENT = "far end silent"
     NO_CIRCUIT = "no circuit"
     TOO_LATE = "too late"
     UNKNOWN_CLASS = "unknown class"
@@ -210,7 +210,7 @@
     ending: Ending
     delay_ns: int = 0
     call_over: bool = False
-    cause: FailureCause = FailureCause.UNSAID
+    cause: FailureCause = FailureCause.UNSPECIFIED
     told_wait_ns: int = 0
     report: LoadReport | None = None
 
@@ -268,7 +268,7 @@
 
     call: str
     redial_after_ns: int = 0
-    reason: RefusalReason = field(default=RefusalReason.UNSAID, compare=False)
+    reason: RefusalReason = field(default=RefusalReason.UNSPECIFIED, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -163,7 +163,7 @@
             case it.CancelAttempt(call, attempt):
                 record = self.calls.get(call)
                 if record is not None and record.attempts - 1 == attempt:
-                    self.abandon(call, record, it.Ending.CALLED_OFF)
+                    self.abandon(call, record, it.Ending.CANCELLED)
             case it.SetTimer(after_ns, label):
                 self.ring_at(now + after_ns, lambda: self.tell(it.TimerExpired(label)))
             case it.Note(text):
@@ -330,7 +330,7 @@
                 pool.give_up(call)
         self.calls.end(call)
         if pool is not None:
-            self.tell(self.outcome(call, record, attempt, it.Ending.CALLED_OFF, over=True))
+            self.tell(self.outcome(call, record, attempt, it.Ending.CANCELLED, over=True))
 
     def release_to_any_exchange(self, call: str, cause: int) -> None:
         pool = self.membership.any_open()
@@ -352,7 +352,7 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.FailureCause = it.FailureCause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         wait_ns: int = 0,
         report: it.LoadReport | None = None,
     ) -> None:
@@ -399,7 +399,7 @@
                 self.calls.ended.add(call)
                 self.callers.release(call, cause, None)
         elif record.established_ns and record.pool is pool:
-            ending = it.Ending.COMPLETED if cause == ReleaseCause.NORMAL else it.Ending.CUT
+            ending = it.Ending.COMPLETED if cause == ReleaseCause.NORMAL else it.Ending.INTERRUPTED
             outcome = self.outcome(call, record, record.attempts - 1, ending, over=True)
             self.calls.end(call)
             log.debug("call over", call=call, exchange=pool.exchange, cause=cause)
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -21,9 +21,9 @@
 # for so long after a set-up, or lacks a state that another has, is mute, however open it looks.
 MUTE_NS = 250 * MS
 ENDINGS: dict[int, it.Ending] = {
-    ReleaseCause.NO_CIRCUIT: it.Ending.TURNED_AWAY,
+    ReleaseCause.NO_CIRCUIT: it.Ending.REJECTED,
     ReleaseCause.NEVER_LEFT: it.Ending.NOT_SENT,
-    ReleaseCause.TEMPORARY_FAILURE: it.Ending.CUT,
+    ReleaseCause.TEMPORARY_FAILURE: it.Ending.INTERRUPTED,
     ReleaseCause.USER_BUSY: it.Ending.NUMBER_BUSY,
     ReleaseCause.UNAVAILABLE: it.Ending.NUMBER_BUSY,
 }
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -47,7 +47,7 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.FailureCause = it.FailureCause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         wait_ns: int = 0,
         report: it.LoadReport | None = None,
     ) -> None: ...
@@ -194,7 +194,7 @@
             log.info("exchange connection lost", reason=loss.value, **self.facts(connection))
         lost = {call: release.cause for call, release in connection.releases.items()}
         for call in sorted(connection.set_ups):
-            self.handler.attempt_ended(call, it.Ending.CUT)
+            self.handler.attempt_ended(call, it.Ending.INTERRUPTED)
             # Guards circuits: the exchange may have taken the call as standing, with its answer lost here.
             lost[call] = ReleaseCause.NORMAL
         connection.set_ups.clear()
--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -231,10 +231,10 @@
         if call.attempts >= self.settings.attempt_limit:
             return it.RefusalReason.ATTEMPTS_USED
         if self.own.opens_at(now, tau) > now:
-            return it.RefusalReason.OWN_PROCESSOR
+            return it.RefusalReason.LOCAL_OVERLOAD
         if dest.cpu.opens_at(now, tau) > now:
             silent = dest.cpu.silent
-            return it.RefusalReason.FAR_SILENT if silent else it.RefusalReason.FAR_PROCESSOR
+            return it.RefusalReason.REMOTE_SILENT if silent else it.RefusalReason.REMOTE_OVERLOAD
         if not self.room(dest, call, 0.0):
             return it.RefusalReason.NO_CIRCUIT
         return it.RefusalReason.TOO_LATE
@@ -408,7 +408,7 @@
         ):
             self.forget(call.id, it.Fail(call.id))  # another error is a signalling fault: it goes again
         else:
-            if event.ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
+            if event.ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
                 call.not_before = now + self.settings.release_ns  # rule 5: the release is awaited
             self.decide(call, now)
 
@@ -431,9 +431,9 @@
                 call.faulted = True
                 if far is not dest:
                     self.weigh(dest, far, now, stood=False)
-        elif event.ending is it.Ending.TURNED_AWAY:
+        elif event.ending is it.Ending.REJECTED:
             cpu.hear(now)
-            if event.cause in (it.FailureCause.PROCESSOR_FULL, it.FailureCause.BEYOND_FULL):
+            if event.cause in (it.FailureCause.PROCESSOR_FULL, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL):
                 full = cpu if event.cause is it.FailureCause.PROCESSOR_FULL else dest.cpu
                 full.told, full.told_at = R, now  # its wait is beyond any aim: no set-up until it has drained
                 self.watched.update({far.exchange: far, dest.exchange: dest})
--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -11,17 +11,17 @@
 ENDINGS = {
     "served": it.Ending.COMPLETED,
     "server_error": it.Ending.NUMBER_BUSY,
-    "turned_away": it.Ending.TURNED_AWAY,
+    "turned_away": it.Ending.REJECTED,
     "no_answer": it.Ending.NO_ANSWER,
     "no_connection": it.Ending.NO_CONNECTION,
-    "connection_lost": it.Ending.CUT,
-    "called_off": it.Ending.CALLED_OFF,
+    "connection_lost": it.Ending.INTERRUPTED,
+    "called_off": it.Ending.CANCELLED,
     "not_sent": it.Ending.NOT_SENT,
 }
 CAUSES = {
-    0: it.FailureCause.UNSAID,
+    0: it.FailureCause.UNSPECIFIED,
     1: it.FailureCause.NO_CIRCUIT,
-    2: it.FailureCause.TURNED_BACK,
+    2: it.FailureCause.RETURNED_BY_TANDEM,
     3: it.FailureCause.PROCESSOR_FULL,
     4: it.FailureCause.LINES_BUSY,
 }
@@ -146,9 +146,9 @@
 
 def read_cause(code: int) -> tuple[it.FailureCause, int]:
     if code == BEYOND_FULL_CODE:
-        return it.FailureCause.BEYOND_FULL, 0
+        return it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL, 0
     low, wait_ms = code % CODE_MASK, code // CODE_MASK
-    return CAUSES.get(low, it.FailureCause.UNSAID), wait_ms * MS if low == PROCESSOR_FULL_CODE else 0
+    return CAUSES.get(low, it.FailureCause.UNSPECIFIED), wait_ms * MS if low == PROCESSOR_FULL_CODE else 0
 
 
 def read_entry(fields: Mapping[str, str]) -> it.ListedExchange:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -76,7 +76,7 @@
         call: str,
         exchange: str,
         ending: it.Ending,
-        cause: it.FailureCause = it.FailureCause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         attempt: int = 0,
         call_over: bool = False,
     ) -> list[it.Action]:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -15,7 +15,7 @@
     """Incident i6a95c2: the same call went straight back to the processor that had turned it away."""
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    actions = driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+    actions = driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.wait(25)
     others = [action for _ in range(20) for action in driver.offer(2)[1]]
     assert "x2" not in sent(others)
@@ -27,7 +27,7 @@
     driver.circuits("x2", 0)
     call, actions = driver.offer(2)
     tandem = sent(actions, call)[0]
-    driver.end(call, tandem, it.Ending.TURNED_AWAY, it.FailureCause.BEYOND_FULL)
+    driver.end(call, tandem, it.Ending.REJECTED, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL)
     driver.wait(25)
     assert not sent(driver.offer(2)[1])
     assert sent(driver.offer(int(tandem[1:]))[1]) == [tandem]
@@ -168,7 +168,7 @@
     twice = (it.ListedExchange("x2", 2), it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING))
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, twice), it.ExchangeList(it.ListKind.FAILED))
     driver.circuits("x1", 90, size=60)
-    driver.end("never", "x1", it.Ending.CUT)
+    driver.end("never", "x1", it.Ending.INTERRUPTED)
     driver.tell(
         it.CallerLeft("never"), it.ProbeAnswer("nowhere", it.Ending.NO_ANSWER), it.PeerMessage(3, b"x")
     )
@@ -222,7 +222,7 @@
     for attempt in range(2):
         assert not answers(actions)
         tandem = sent(actions, call)[0]
-        actions = driver.end(call, tandem, it.Ending.TURNED_AWAY, it.FailureCause.TURNED_BACK, attempt)
+        actions = driver.end(call, tandem, it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM, attempt)
     assert refused_at_once(actions, call)
 
 
@@ -237,7 +237,7 @@
     driver = PolicyDriver()
     cpu = driver.policy.far["x2"].cpu
     first, _ = driver.offer(2)
-    driver.end(first, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+    driver.end(first, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(first))
     driver.wait(25)
     assert cpu.valid_until - driver.now > 1500 * MS, "nothing out, no reports: shut for the validity time"
@@ -263,7 +263,7 @@
     for _ in range(400):
         call, actions = driver.offer(2)
         if sent(actions):
-            driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+            driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
         driver.wait(50)
     cpu = driver.policy.far["x2"].cpu
     assert cpu.sent.rate(driver.now) < cpu.asked.rate(driver.now) / 5 and cpu.validity(driver.now) == 2 * S
@@ -277,7 +277,7 @@
         driver = PolicyDriver(settings=settings)
         for _ in range(10):
             call, _ = driver.offer(2)
-            driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+            driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
             driver.tell(it.CallerLeft(call))
         driver.wait(25)
         left.append(driver.policy.far["x2"].cpu.valid_until - driver.now)
@@ -288,7 +288,7 @@
     """From one set-up a second it grew for five seconds while the processor answered within 30 ms."""
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
     call, _ = driver.offer(2)
-    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+    driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.LoadReport(20, 60, accepted_per_s=60.0)))
     went = 0
     for _ in range(200):  # five seconds, two of them in blocking
@@ -321,7 +321,7 @@
     lost, actions = overtaken(driver)
     actions += driver.wait(75)
     assert [a for a in actions if not isinstance(a, it.SetTimer)] == [it.CancelAttempt(lost, 0)]
-    driver.end(lost, "x2", it.Ending.CALLED_OFF)
+    driver.end(lost, "x2", it.Ending.CANCELLED)
     assert not sent(driver.wait(375), lost) and sent(driver.wait(75), lost) == ["x2"]
 
 
@@ -338,7 +338,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "room"), [(it.FailureCause.UNSAID, True), (it.FailureCause.NO_CIRCUIT, False)]
+    ("cause", "room"), [(it.FailureCause.UNSPECIFIED, True), (it.FailureCause.NO_CIRCUIT, False)]
 )
 def test_what_left_too_late_says_nothing_of_the_group(cause: it.FailureCause, room: bool) -> None:
     """On sockets a set-up that waited past its time is not sent either; the group has room as before."""
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -205,13 +205,13 @@
 @pytest.mark.parametrize(
     ("cause", "note", "wanted"),
     [
-        (34, "tandem_refused", (it.Ending.TURNED_AWAY, it.FailureCause.TURNED_BACK)),
-        (34, "destination_full", (it.Ending.TURNED_AWAY, it.FailureCause.BEYOND_FULL)),
-        (34, "processor_full", (it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)),
+        (34, "tandem_refused", (it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM)),
+        (34, "destination_full", (it.Ending.REJECTED, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL)),
+        (34, "processor_full", (it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)),
         (102, "group_full", (it.Ending.NOT_SENT, it.FailureCause.NO_CIRCUIT)),
         (17, "user_busy", (it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)),
-        (47, "", (it.Ending.NUMBER_BUSY, it.FailureCause.UNSAID)),
-        (41, "", (it.Ending.CUT, it.FailureCause.UNSAID)),
+        (47, "", (it.Ending.NUMBER_BUSY, it.FailureCause.UNSPECIFIED)),
+        (41, "", (it.Ending.INTERRUPTED, it.FailureCause.UNSPECIFIED)),
     ],
 )
 def test_each_refusal_means_what_the_adapter_would_tell(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from arrowkeel import interface as it
 from tests.conftest import MS, SETTINGS, PolicyDriver, S, answers, listed, sent
 
-ENDED_UNSURE = [it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF]
+ENDED_UNSURE = [it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED]
 
 
 @pytest.mark.parametrize("ending", [e for e in it.Ending if e is not it.Ending.COMPLETED])
@@ -61,7 +61,7 @@
 def test_rule_2_a_call_with_an_attempt_out_is_not_sent_again() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    late = driver.tell(it.AttemptEnded(call, 5, "x2", it.Ending.TURNED_AWAY))  # no such attempt is out
+    late = driver.tell(it.AttemptEnded(call, 5, "x2", it.Ending.REJECTED))  # no such attempt is out
     assert not sent(late + driver.wait(2900), call)
 
 
@@ -136,7 +136,7 @@
 def test_rule_5_a_cut_call_is_tried_again_once_the_release_is_over() -> None:
     driver = PolicyDriver(settings=replace(SETTINGS, release_ns=200 * MS))
     call, _ = driver.offer(2)
-    assert sent(driver.end(call, "x2", it.Ending.CUT) + driver.wait(400), call) == ["x2"]
+    assert sent(driver.end(call, "x2", it.Ending.INTERRUPTED) + driver.wait(400), call) == ["x2"]
 
 
 def test_a_transit_call_goes_to_its_destination_or_back() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -165,7 +165,9 @@
             for attempt in range(2):
                 tandems = sent(actions, call)
                 actions = (
-                    driver.end(call, tandems[0], it.Ending.TURNED_AWAY, it.FailureCause.TURNED_BACK, attempt)
+                    driver.end(
+                        call, tandems[0], it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM, attempt
+                    )
                     if tandems
                     else []
                 )
@@ -196,7 +198,7 @@
     """Issue 11: entries blocking or silent when the list dropped their exchange met its return so."""
     driver = PolicyDriver(settings=CROWDED)
     call, _ = driver.offer(2)
-    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+    driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
     driver.policy.far["x3"].cpu.miss(driver.now, 1.0)
@@ -213,7 +215,7 @@
 def test_an_entry_that_blocked_lapses_while_its_exchange_is_off_the_list() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    driver.end(call, "x2", it.Ending.TURNED_AWAY, it.FailureCause.PROCESSOR_FULL)
+    driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
     driver.tell(
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -102,8 +102,8 @@
     ("code", "cause", "wait_ns"),
     [
         (1, it.FailureCause.NO_CIRCUIT, 0),
-        (2, it.FailureCause.TURNED_BACK, 0),
-        (18, it.FailureCause.BEYOND_FULL, 0),
+        (2, it.FailureCause.RETURNED_BY_TANDEM, 0),
+        (18, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL, 0),
         (3 + 16 * 40, it.FailureCause.PROCESSOR_FULL, 40_000_000),
         (4, it.FailureCause.LINES_BUSY, 0),
     ],
