--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -75,12 +75,12 @@
 @dataclass(frozen=True, slots=True)
 class CallClass:
     name: str
-    aim_ns: int
-    give_up_ns: int
+    target_ns: int
+    deadline_ns: int
     worth: float = 1.0
     late_worth: float = 0.0
-    hold_ns: int = 10_000_000_000
-    pools: tuple[int, ...] = ()
+    holding_time_ns: int = 10_000_000_000
+    exchange_numbers: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,17 +89,17 @@
 
     classes: tuple[CallClass, ...]
     own_number: int = -1
-    agents: int = 1
-    agent_index: int = 0
+    controllers: int = 1
+    controller_index: int = 0
     is_mesh: bool = True
     reporting: LoadReporting = LoadReporting.NONE
     may_probe: bool = False
     may_cancel: bool = False
     may_advise_redial: bool = False
-    longest_advice_ns: int = 0
+    max_redial_after_ns: int = 0
     attempt_limit: int = 1
-    release_ns: int = 0
-    repeat_set_up_ns: int = 0
+    release_guard_ns: int = 0
+    set_up_retransmit_ns: int = 0
     list_on_request: bool = False
     list_age_limit_ns: int = 10_000_000_000
     cold_share: float = 0.3
@@ -111,14 +111,14 @@
         if not self.classes:
             raise ValueError("classes: at least one class of call is needed")
         for entry in self.classes:
-            if entry.aim_ns <= 0 or entry.give_up_ns <= 0:
-                raise ValueError(f"classes: aim_ns and give_up_ns of {entry.name!r} must be above 0")
+            if entry.target_ns <= 0 or entry.deadline_ns <= 0:
+                raise ValueError(f"classes: target_ns and deadline_ns of {entry.name!r} must be above 0")
             if not entry.worth >= 0 or not 0 <= entry.late_worth <= 1:
                 raise ValueError(f"classes: worth or late_worth of {entry.name!r} is out of range")
-        for name in ("agents", "attempt_limit", "cold_window_ns"):
+        for name in ("controllers", "attempt_limit", "cold_window_ns"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
-        for name in ("longest_advice_ns", "release_ns", "repeat_set_up_ns", "warm_after_ns"):
+        for name in ("max_redial_after_ns", "release_guard_ns", "set_up_retransmit_ns", "warm_after_ns"):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
         if not 0 < self.cold_share <= 1:
@@ -127,22 +127,22 @@
             raise ValueError("cold_multiple: must be above 0")
 
     @property
-    def shortest_aim_ns(self) -> int:
-        return min(kind.aim_ns for kind in self.classes)
+    def shortest_target_ns(self) -> int:
+        return min(kind.target_ns for kind in self.classes)
 
     @property
-    def longest_aim_ns(self) -> int:
-        return max(kind.aim_ns for kind in self.classes)
+    def longest_target_ns(self) -> int:
+        return max(kind.target_ns for kind in self.classes)
 
     @property
-    def longest_give_up_ns(self) -> int:
-        return max(kind.give_up_ns for kind in self.classes)
+    def longest_deadline_ns(self) -> int:
+        return max(kind.deadline_ns for kind in self.classes)
 
     @property
-    def most_worth(self) -> float:
+    def highest_worth(self) -> float:
         return max(kind.worth for kind in self.classes) or 1.0
 
-    def class_named(self, name: str) -> CallClass:
+    def find_class(self, name: str) -> CallClass:
         """The class of that name; a name never met before is served as the first one."""
         return next((kind for kind in self.classes if kind.name == name), self.classes[0])
 
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -278,7 +278,7 @@
             return False
         reason = self.refusal_reason(offer)
         if reason is not None:
-            self.refuse(connection, offer, self.config.settings.longest_advice_ns, reason)
+            self.refuse(connection, offer, self.config.settings.max_redial_after_ns, reason)
             return reason is not it.RefusalReason.UNKNOWN_CLASS
         self.take_call(connection, offer)
         return True
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -134,7 +134,7 @@
         """
         if self.stop_at_ns:
             return
-        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
+        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_deadline_ns
         self.state = ServiceState.STOPPING
         self.stop_at_ns = now + STOP_TAKES_NS
         log.info("stopping", **self.load())
--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -58,19 +58,19 @@
         self.settings, self.random = settings, Random(seed)
         # Spans are set for calls that are to stand in seconds: with shorter aims what is waited for is
         # shorter too, and a span kept whole outlives the distress it guards against. Longer aims keep them.
-        self.pace = min(1.0, max(PACE_LEAST, settings.longest_aim_ns / PACE_AIM_NS))
-        self.own, self.crowd = Processor(1.0, self.pace), max(1.0, settings.agents / CROWD)
+        self.pace = min(1.0, max(PACE_LEAST, settings.longest_target_ns / PACE_AIM_NS))
+        self.own, self.crowd = Processor(1.0, self.pace), max(1.0, settings.controllers / CROWD)
         self.own.calm_raise = OWN_RAISE
         # Sixty agents in doubt about sixty far ends probed more than callers called, at their expense. It
         # bounds what any common distress adds. Harm: that a far end has recovered is known seconds later.
         self.far_probe_gap = int(PROBE_GAP_NS * self.crowd)
-        self.wait_at_h, self.floor = WAIT_AT_H * settings.longest_aim_ns, float(settings.longest_aim_ns)
+        self.wait_at_h, self.floor = WAIT_AT_H * settings.longest_target_ns, float(settings.longest_target_ns)
         self.far, self.watched = dict[str, Far](), dict[str, Far]()  # watched: with news, to be judged
         self.by_number: dict[int, Far] = {}
         self.calls, self.held = dict[str, Call](), dict[str, Call]()
         self.overtaken = dict[str, int]()  # set-ups that a later one has overtaken, and when
         self.busy = GrowingGaps(BUSY_GAP_NS, BUSY_GAP_MOST_NS)
-        self.asked = FirstTimes(settings.longest_give_up_ns)
+        self.asked = FirstTimes(settings.longest_deadline_ns)
         self.numbers: list[int] = []
         self.turned_back = 0.0  # share of the latest tandem attempts, whatever their destination
         self.hot, self.asks = False, settings.may_probe and settings.reporting is it.LoadReporting.ON_PROBE
@@ -133,7 +133,7 @@
         if report.free_circuits is not None:
             far.free, far.size = report.free_circuits, report.group_size or far.size
         if report.accepted_per_s is not None:
-            far.cpu.fair = report.accepted_per_s / self.settings.agents
+            far.cpu.fair = report.accepted_per_s / self.settings.controllers
         scales = (  # each field in its own scale
             (report.wait_ns, self.wait_at_h),
             (report.hold_back_share, HOLD_BACK_AT_H),
@@ -170,7 +170,7 @@
             pressure = max(0.0, cpu.excess(now, self.floor) - excess) / self.wait_at_h
             pressure = max(pressure, cpu.told if cpu.told_at > now - span else 0.0)
             oldest = cpu.pending.oldest(now)
-            quiet = now - max(oldest, cpu.heard_at) > SILENT_SHARE * self.settings.shortest_aim_ns
+            quiet = now - max(oldest, cpu.heard_at) > SILENT_SHARE * self.settings.shortest_target_ns
             if quiet and not cpu.silent and len(cpu.pending) + cpu.missed > 1 and own < H:
                 cpu.miss(now, self.spread())
             heard = len(cpu.pending) > 0 or pressure > 0 or cpu.heard_at > now - cpu.valid_ns
@@ -196,17 +196,19 @@
     def on_call(self, event: it.CallOffered, now: int) -> None:
         came, known = self.came_at, event.number_called and not event.transit
         first = self.asked.of(event.number_called, now, came) if known else came  # redials: the first aim
-        kind, start = self.settings.class_named(event.class_name), came if event.was_cut else first
-        aim_at, ends = start + kind.aim_ns, now + max(0, event.patience_ns)
+        kind, start = self.settings.find_class(event.class_name), came if event.was_cut else first
+        aim_at, ends = start + kind.target_ns, now + max(0, event.patience_ns)
         dest = self.by_number.get(event.destination)
         if first == came:  # no redial
             self.own.asked.add(came)
             if dest is not None and not event.transit:
                 dest.cpu.asked.add(came)
         late = now >= aim_at or (first == came and event.redial and not event.was_cut)
-        worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.most_worth
-        hold_until = min(aim_at - int(kind.aim_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
-        call = self.calls[event.call] = Call(event, aim_at, ends, now, hold_until, worth, kind.pools)
+        worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.highest_worth
+        hold_until = min(aim_at - int(kind.target_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
+        call = self.calls[event.call] = Call(
+            event, aim_at, ends, now, hold_until, worth, kind.exchange_numbers
+        )
         if not event.transit and self.busy.shut(event.number_called, now):
             # A busy number is gapped by itself: its exchange is not curbed.
             self.refuse(call, it.RefusalReason.NUMBER_GAPPED)
@@ -324,7 +326,7 @@
         if age >= warm:
             return 0.0
         share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age / warm
-        agents = 1 if cpu is self.own else self.settings.agents
+        agents = 1 if cpu is self.own else self.settings.controllers
         # What callers asked of it, not what is sent: in distress that is little and starves what returns,
         # whatever the distress was; nor a mean of all pairs. Harm: calls of a flood count as usual ones.
         usual = cpu.asked.count(now) * S / max(RATE_SPAN_NS, min(ASKED_SPAN_NS, now - self.began_at))
@@ -351,9 +353,9 @@
 
         After faults of the signalling at a processor that is not pressed there is nobody to make room for.
         """
-        dest, longest = self.by_number.get(call.event.destination), self.settings.longest_advice_ns
+        dest, longest = self.by_number.get(call.event.destination), self.settings.max_redial_after_ns
         soon = call.faulted and dest is not None and not self.pressed(dest)
-        after = min(self.settings.release_ns, longest) if soon else longest
+        after = min(self.settings.release_guard_ns, longest) if soon else longest
         advise = self.settings.may_advise_redial and not call.event.transit
         self.forget(call.id, it.Refuse(call.id, after if advise else 0, reason))
 
@@ -409,7 +411,7 @@
             self.forget(call.id, it.Fail(call.id))  # another error is a signalling fault: it goes again
         else:
             if event.ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
-                call.not_before = now + self.settings.release_ns  # rule 5: the release is awaited
+                call.not_before = now + self.settings.release_guard_ns  # rule 5: the release is awaited
             self.decide(call, now)
 
     def learn_ending(self, call: Call, far: Far, event: it.AttemptEnded, now: int) -> None:
@@ -451,7 +453,7 @@
                 del self.overtaken[call_id]  # behind a tandem there is another queue
             elif not self.pressed(call.out) and self.is_lost(call.out.cpu, now - at, now):
                 del self.overtaken[call_id]
-                again = now + self.settings.release_ns + int(max(0.0, call.out.cpu.delay)) < call.ends
+                again = now + self.settings.release_guard_ns + int(max(0.0, call.out.cpu.delay)) < call.ends
                 if again and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
                     self.out.append(it.CancelAttempt(call.id, call.attempts - 1))
 
--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -236,29 +236,29 @@
     classes = tuple(
         it.CallClass(
             name=str(entry["name"]),
-            aim_ns=int(entry["onTimeNs"]),
-            give_up_ns=int(entry["deadlineNs"]),
+            target_ns=int(entry["onTimeNs"]),
+            deadline_ns=int(entry["deadlineNs"]),
             worth=float(entry.get("credit", 1.0)),
             late_worth=float(entry.get("lateWorth", 0.0)),
-            hold_ns=int(holds[index]) if index < len(holds) else 10_000_000_000,
-            pools=tuple(int(pool) for pool in pools[index] or ()) if index < len(pools) else (),
+            holding_time_ns=int(holds[index]) if index < len(holds) else 10_000_000_000,
+            exchange_numbers=tuple(int(pool) for pool in pools[index] or ()) if index < len(pools) else (),
         )
         for index, entry in enumerate(raw["classes"])
     )
     return it.Settings(
         classes=classes,
         own_number=int(family.get("ownNumber", -1)),
-        agents=int(raw.get("groupSize", 1)),
-        agent_index=int(raw.get("rank", 0)),
+        controllers=int(raw.get("groupSize", 1)),
+        controller_index=int(raw.get("rank", 0)),
         is_mesh=family.get("layout", "network") == "network",
         reporting=REPORTING.get((raw.get("report") or {}).get("how", "none"), it.LoadReporting.NONE),
         may_probe=bool(allowed.get("probes", False)),
         may_cancel=bool(allowed.get("cancel", False)),
         may_advise_redial=bool(allowed.get("retryAfter", False)),
-        longest_advice_ns=int(allowed.get("maxRetryAfterNs", 0)),
+        max_redial_after_ns=int(allowed.get("maxRetryAfterNs", 0)),
         attempt_limit=int(allowed.get("tryLimit", 1)),
-        release_ns=int(family.get("guardNs", 0)),
-        repeat_set_up_ns=int(family.get("retransmitNs", 0)),
+        release_guard_ns=int(family.get("guardNs", 0)),
+        set_up_retransmit_ns=int(family.get("retransmitNs", 0)),
         list_on_request=raw.get("registryMode", "push") == "ask",
         list_age_limit_ns=int(rules.get("mustAskInNs", 10_000_000_000)),
         cold_share=float(rules.get("coldShare", 0.3)),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,15 +14,15 @@
 
 SETTINGS = it.Settings(
     classes=(
-        it.CallClass("plain", aim_ns=1500 * MS, give_up_ns=9 * S, worth=1.0, late_worth=0.25),
-        it.CallClass("worthy", aim_ns=1500 * MS, give_up_ns=9 * S, worth=4.0, late_worth=0.25),
+        it.CallClass("plain", target_ns=1500 * MS, deadline_ns=9 * S, worth=1.0, late_worth=0.25),
+        it.CallClass("worthy", target_ns=1500 * MS, deadline_ns=9 * S, worth=4.0, late_worth=0.25),
     ),
     own_number=0,
-    agents=5,
+    controllers=5,
     may_advise_redial=True,
-    longest_advice_ns=2 * S,
+    max_redial_after_ns=2 * S,
     attempt_limit=6,
-    release_ns=400 * MS,
+    release_guard_ns=400 * MS,
 )
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -180,7 +180,7 @@
         SETTINGS,
         own_number=-1,
         is_mesh=False,
-        classes=(it.CallClass("plain", 1500 * MS, 9 * S, pools=(1, 3)),),
+        classes=(it.CallClass("plain", 1500 * MS, 9 * S, exchange_numbers=(1, 3)),),
     )
     driver = PolicyDriver(settings=pools)
     assert sent(driver.offer(1)[1]) == ["x1"]
@@ -190,7 +190,7 @@
 
 def refused_at_once(actions: list[it.Action], call: str) -> bool:
     """The caller is told at once, and told to come back as late as it may be asked to."""
-    return answers(actions, call) == [it.Refuse(call, SETTINGS.longest_advice_ns)]
+    return answers(actions, call) == [it.Refuse(call, SETTINGS.max_redial_after_ns)]
 
 
 def test_a_call_to_a_gone_or_unknown_exchange_is_answered_at_once() -> None:
@@ -271,7 +271,7 @@
 
 def test_spans_shrink_with_the_aims() -> None:
     """With aims of half a second a block of seconds outlived the distress that it guarded against."""
-    short = replace(SETTINGS, classes=(it.CallClass("plain", aim_ns=500 * MS, give_up_ns=3 * S),))
+    short = replace(SETTINGS, classes=(it.CallClass("plain", target_ns=500 * MS, deadline_ns=3 * S),))
     left = []
     for settings in (SETTINGS, short):
         driver = PolicyDriver(settings=settings)
@@ -355,7 +355,7 @@
     for attempt in range(3):
         assert sent(actions, call) == ["x2"]
         actions = driver.end(call, "x2", it.Ending.NUMBER_BUSY, attempt=attempt)
-    assert answers(actions, call) == [it.Refuse(call, SETTINGS.release_ns)]  # nobody to make room for
+    assert answers(actions, call) == [it.Refuse(call, SETTINGS.release_guard_ns)]  # nobody to make room for
     call, _ = driver.offer(2)
     actions = driver.end(call, "x2", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
     assert answers(actions, call) == [it.Fail(call)]
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -57,7 +57,7 @@
     def end(self, call: str, exchange: str, attempt: int, ending: it.Ending) -> None:
         del self.out[call]
         if ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
-            self.released[call] = self.now + SETTINGS.release_ns
+            self.released[call] = self.now + SETTINGS.release_guard_ns
         self.tell(it.AttemptEnded(call, attempt, exchange, ending))
 
     def step(self, what: str, pick: int) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -130,11 +130,11 @@
         if sent(actions, call):
             again = driver.now
         actions = driver.wait(5, step_ms=5)
-    assert again is None or again >= told + SETTINGS.release_ns
+    assert again is None or again >= told + SETTINGS.release_guard_ns
 
 
 def test_rule_5_a_cut_call_is_tried_again_once_the_release_is_over() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, release_ns=200 * MS))
+    driver = PolicyDriver(settings=replace(SETTINGS, release_guard_ns=200 * MS))
     call, _ = driver.offer(2)
     assert sent(driver.end(call, "x2", it.Ending.INTERRUPTED) + driver.wait(400), call) == ["x2"]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,7 +13,7 @@
 from tests.conftest import MS, SETTINGS, PolicyDriver, S, answers, listed, sent
 
 AGENTS = 60
-CROWDED = replace(SETTINGS, agents=AGENTS)
+CROWDED = replace(SETTINGS, controllers=AGENTS)
 
 
 def test_sixty_agents_keep_the_cold_budget_together() -> None:
@@ -245,7 +245,7 @@
             if isinstance(action, it.SetUp):
                 driver.stand(action.call, "x9", delay_ms=10)
                 went += 1
-    least, usual = 3.0 / SETTINGS.agents, 10.0
+    least, usual = 3.0 / SETTINGS.controllers, 10.0
     assert 2 * least < went / 2 < SETTINGS.cold_multiple * 0.45 * usual
 
 
@@ -273,7 +273,7 @@
 def test_far_ends_are_probed_no_more_often_the_more_agents_are_in_doubt(agents: int) -> None:
     """Issue 11: 2000 probes a second, most of them turned away, beside 850 calls."""
     probes = 0
-    settings = replace(CROWDED, agents=agents, reporting=it.LoadReporting.ON_PROBE, may_probe=True)
+    settings = replace(CROWDED, controllers=agents, reporting=it.LoadReporting.ON_PROBE, may_probe=True)
     for seed in range(agents):
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -118,7 +118,7 @@
         ({"classes": ()}, "classes"),
         ({"cold_share": 0.0}, "cold_share"),
         ({"attempt_limit": 0}, "attempt_limit"),
-        ({"release_ns": -1}, "release_ns"),
+        ({"release_guard_ns": -1}, "release_guard_ns"),
     ],
 )
 def test_unusable_settings_are_named(changes: dict[str, object], named: str) -> None:
