--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -153,7 +153,7 @@
     number: int
     status: ExchangeStatus = ExchangeStatus.SERVING
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     rating: float = 1.0
     started_ns: int = 0
 
@@ -164,12 +164,12 @@
 
     free_circuits: int | None = None
     group_size: int | None = None
-    in_work: float | None = None
-    queued: float | None = None
-    busy_share: float | None = None
+    set_ups_in_progress: float | None = None
+    queued_messages: float | None = None
+    utilization: float | None = None
     wait_ns: float | None = None
-    accepted_per_s: float | None = None
-    hold_back_share: float | None = None
+    max_set_ups_per_s: float | None = None
+    reduction_share: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,18 +180,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call to decide on. `from_or_advised`: the sender of a transit call, else an advised tandem, or -1."""
+    """A call to decide on.
+
+    `sender_or_advised_tandem`: the sender of a transit call, else an advised tandem, or -1.
+    """
 
     call: str
     class_name: str
     destination: int
     patience_ns: int
     number_called: str = ""
-    width: int = 1
-    from_or_advised: int = -1
+    circuits: int = 1
+    sender_or_advised_tandem: int = -1
     redial: bool = False
     transit: bool = False
-    was_cut: bool = False
+    was_interrupted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -211,7 +214,7 @@
     delay_ns: int = 0
     call_over: bool = False
     cause: FailureCause = FailureCause.UNSPECIFIED
-    told_wait_ns: int = 0
+    reported_wait_ns: int = 0
     report: LoadReport | None = None
 
 
--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -145,7 +145,7 @@
             number=int(raw["cell"]),
             status=LIFECYCLES[lifecycle],
             zone=str(raw.get("zone", "")),
-            kind=str(raw.get("machineType", "")),
+            machine_type=str(raw.get("machineType", "")),
             rating=float(raw.get("weight", 1.0)),
             started_ns=clock.monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -305,11 +305,11 @@
                 destination=offer.destination,
                 patience_ns=patience_ns,
                 number_called=offer.number_called,
-                width=offer.width,
-                from_or_advised=offer.via,
+                circuits=offer.width,
+                sender_or_advised_tandem=offer.via,
                 redial=offer.redial,
                 transit=offer.transit,
-                was_cut=offer.was_cut,
+                was_interrupted=offer.was_cut,
             )
         )
 
@@ -371,7 +371,7 @@
             delay_ms=outcome.delay_ns // MS,
         )
         record.pool = None
-        self.tell(replace(outcome, cause=cause, told_wait_ns=wait_ns, report=report))
+        self.tell(replace(outcome, cause=cause, reported_wait_ns=wait_ns, report=report))
 
     def call_established(
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -132,12 +132,12 @@
             return
         if report.free_circuits is not None:
             far.free, far.size = report.free_circuits, report.group_size or far.size
-        if report.accepted_per_s is not None:
-            far.cpu.fair = report.accepted_per_s / self.settings.controllers
+        if report.max_set_ups_per_s is not None:
+            far.cpu.fair = report.max_set_ups_per_s / self.settings.controllers
         scales = (  # each field in its own scale
             (report.wait_ns, self.wait_at_h),
-            (report.hold_back_share, HOLD_BACK_AT_H),
-            (report.queued, QUEUED_AT_H),
+            (report.reduction_share, HOLD_BACK_AT_H),
+            (report.queued_messages, QUEUED_AT_H),
         )
         if scores := [value / at_h for value, at_h in scales if value is not None]:
             cpu = self.own if far.number == self.settings.own_number else far.cpu
@@ -196,14 +196,14 @@
     def on_call(self, event: it.CallOffered, now: int) -> None:
         came, known = self.came_at, event.number_called and not event.transit
         first = self.asked.of(event.number_called, now, came) if known else came  # redials: the first aim
-        kind, start = self.settings.find_class(event.class_name), came if event.was_cut else first
+        kind, start = self.settings.find_class(event.class_name), came if event.was_interrupted else first
         aim_at, ends = start + kind.target_ns, now + max(0, event.patience_ns)
         dest = self.by_number.get(event.destination)
         if first == came:  # no redial
             self.own.asked.add(came)
             if dest is not None and not event.transit:
                 dest.cpu.asked.add(came)
-        late = now >= aim_at or (first == came and event.redial and not event.was_cut)
+        late = now >= aim_at or (first == came and event.redial and not event.was_interrupted)
         worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.highest_worth
         hold_until = min(aim_at - int(kind.target_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
         call = self.calls[event.call] = Call(
@@ -293,14 +293,17 @@
         return self.draw_tandem(call, dest, now) if may_turn else None
 
     def room(self, far: Far, call: Call, kept: float) -> bool:
-        return far.free is None or far.free - call.event.width >= int(kept)
+        return far.free is None or far.free - call.event.circuits >= int(kept)
 
     def reserve(self, far: Far) -> float:
         return max(1.0, RESERVE_SHARE * far.size)
 
     def draw_tandem(self, call: Call, dest: Far, now: int) -> Far | None:
         pool = self.numbers if self.settings.is_mesh else call.pools
-        advised, few = call.event.from_or_advised, self.random.random() < self.turned_back  # the mesh is full
+        advised, few = (
+            call.event.sender_or_advised_tandem,
+            self.random.random() < self.turned_back,  # the mesh is full
+        )
         looked_at = [] if few else self.random.sample(pool, min(len(pool), CANDIDATES))
         options: list[tuple[Far, float]] = []
         for number in dict.fromkeys([*dest.weights, *looked_at, *([advised] if advised in pool else [])]):
@@ -337,7 +340,7 @@
         call.out, call.attempts = far, call.attempts + 1
         if far.number != call.event.destination:
             call.tried.add(far.number)
-        far.free = None if far.free is None else max(0, far.free - call.event.width)
+        far.free = None if far.free is None else max(0, far.free - call.event.circuits)
         far.cpu.take(now)
         far.cpu.pending.sent[call.id] = now
         self.watched[far.exchange] = far
--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -49,12 +49,12 @@
 REPORT_FIELDS = {
     "idle": ("free_circuits", 1.0),
     "circuits": ("group_size", 1.0),
-    "inflight": ("in_work", 1.0),
-    "queue": ("queued", 1.0),
-    "util": ("busy_share", 1.0),
+    "inflight": ("set_ups_in_progress", 1.0),
+    "queue": ("queued_messages", 1.0),
+    "util": ("utilization", 1.0),
     "latency_ms": ("wait_ns", 1e6),
-    "max_rate": ("accepted_per_s", 1.0),
-    "reduce": ("hold_back_share", 1.0),
+    "max_rate": ("max_set_ups_per_s", 1.0),
+    "reduce": ("reduction_share", 1.0),
 }
 WHOLE_FIELDS = frozenset({"free_circuits", "group_size"})
 TEXT_FIELDS = {"BEGIN": " options="}
@@ -157,7 +157,7 @@
         number=whole(fields, "placeNo"),
         status=one_of(fields, "health", LISTINGS),
         zone=fields.get("locality", ""),
-        kind=fields.get("shape", ""),
+        machine_type=fields.get("shape", ""),
         rating=number(fields, "rating", 1.0),
         started_ns=whole(fields, "sinceNs", 0),
     )
@@ -172,11 +172,11 @@
             destination=whole(fields, "farEnd"),
             patience_ns=whole(fields, "timeBudgetNs"),
             number_called=fields.get("targetKey", ""),
-            width=whole(fields, "units", 1),
-            from_or_advised=whole(fields, "advisedRoute", -1),
+            circuits=whole(fields, "units", 1),
+            sender_or_advised_tandem=whole(fields, "advisedRoute", -1),
             redial=flag(fields, "resent"),
             transit=flag(fields, "transit"),
-            was_cut=flag(fields, "cameBack"),
+            was_interrupted=flag(fields, "cameBack"),
         )
     if name == "OPENED":
         return it.CallEstablished(
@@ -195,7 +195,7 @@
             delay_ns=whole(fields, "lagNs", 0),
             call_over=flag(fields, "over"),
             cause=cause,
-            told_wait_ns=wait_ns,
+            reported_wait_ns=wait_ns,
             report=read_report(fields, names),
         )
     if name == "LAPSED":
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -60,7 +60,7 @@
     driver = PolicyDriver()
     for number in ("x1", "x2", "x3", "x4"):
         driver.circuits(number, 3)
-    assert not sent(driver.offer(2, transit=True, from_or_advised=1)[1])
+    assert not sent(driver.offer(2, transit=True, sender_or_advised_tandem=1)[1])
     driver.circuits("x2", 0)
     assert not sent(driver.offer(2)[1])
     assert sent(driver.offer(3)[1]) == ["x3"]
@@ -145,9 +145,9 @@
 @pytest.mark.parametrize(
     ("reporting", "report"),
     [
-        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, hold_back_share=0.9)),
+        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, reduction_share=0.9)),
         (it.LoadReporting.ON_PROBE, it.LoadReport(20, 60, wait_ns=2e9)),
-        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, busy_share=5.0, queued=1e12)),
+        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, utilization=5.0, queued_messages=1e12)),
     ],
 )
 def test_a_reported_load_holds_calls_back(reporting: it.LoadReporting, report: it.LoadReport) -> None:
@@ -289,7 +289,7 @@
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
     call, _ = driver.offer(2)
     driver.end(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
-    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.LoadReport(20, 60, accepted_per_s=60.0)))
+    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.LoadReport(20, 60, max_set_ups_per_s=60.0)))
     went = 0
     for _ in range(200):  # five seconds, two of them in blocking
         for action in driver.offer(2)[1] + driver.wait(25):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -141,8 +141,8 @@
 
 def test_a_transit_call_goes_to_its_destination_or_back() -> None:
     driver = PolicyDriver()
-    call, actions = driver.offer(2, transit=True, from_or_advised=1)
+    call, actions = driver.offer(2, transit=True, sender_or_advised_tandem=1)
     assert sent(actions, call) == ["x2"]
     driver.circuits("x2", 1)
-    call, actions = driver.offer(2, transit=True, from_or_advised=1)
+    call, actions = driver.offer(2, transit=True, sender_or_advised_tandem=1)
     assert not sent(actions) and len(answers(actions, call)) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -40,7 +40,7 @@
         driver = PolicyDriver(settings=replace(CROWDED, reporting=it.LoadReporting.IN_ANSWERS))
         driver.policy = Policy(driver.settings, seed)
         driver.tell(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
-        driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, hold_back_share=0.3)))
+        driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, reduction_share=0.3)))
         driver.wait(25)
         went += len(sent(driver.offer(2)[1]))
     assert went < AGENTS / 2
@@ -109,7 +109,7 @@
 
 def test_one_lost_answer_is_no_pressure_where_load_is_reported() -> None:
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
-    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, hold_back_share=0.0)))
+    driver.tell(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, reduction_share=0.0)))
     driver.offer(2)
     driver.wait(1500)
     assert sent(driver.offer(2)[1]) == ["x2"]
