--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -113,7 +113,7 @@
         return {
             "in_progress": len(self.calls),
             "known_exchanges": len(pools),
-            "skipped_exchanges": sum(self.policy.avoids(exchange) for exchange in self.pools),
+            "skipped_exchanges": sum(self.policy.is_skipped(exchange) for exchange in self.pools),
             "open_calls": self.calls.open_count,
             "standing_calls": self.calls.standing_count,
             "silent_exchanges": sum(pool.is_silent for pool in pools),
--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -100,7 +100,7 @@
         self.look(now_ns)
         return self.out
 
-    def avoids(self, exchange: str) -> bool:
+    def is_skipped(self, exchange: str) -> bool:
         """Whether a listed exchange gets no calls just now, but for trials; for operators to see."""
         far = self.far.get(exchange)
         return far is None or not far.serving or far.cpu.silent or far.cpu.state == BLOCKING
