--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -391,7 +391,9 @@
         self.metrics.passed[record.offer.class_name] += 1
         self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_ns))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.Report | None
+    ) -> None:
         """The release of a call that stands, also of one that stood before our start."""
         record = self.calls.get(call)
         if record is None:
@@ -406,10 +408,10 @@
             self.callers.release(call, cause, record.connection)
             self.tell(replace(outcome, report=report))
 
-    def set_up_left(self) -> None:
+    def set_up_sent(self) -> None:
         self.metrics.upstream_tries += 1
 
-    def group_state(self, exchange: str, report: it.Report | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.Report | None) -> None:
         self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -420,12 +422,12 @@
     def dial_failed(self) -> None:
         self.metrics.dials_failed += 1
 
-    def connection_ended(self, loss: ConnectionLoss) -> None:
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.metrics.exchange_connections_lost[loss] += 1
 
     # Calls that nobody will release any more
 
-    def exchange_died(self, pool: ExchangePool) -> None:
+    def exchange_process_died(self, pool: ExchangePool) -> None:
         self.process_gone(pool, time.monotonic_ns(), ReleaseReason.REFUSING)
 
     def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None:
@@ -454,7 +456,7 @@
         )
         self.metrics.standing_released[reason] += len(calls)
         for call in calls:
-            self.exchange_ended(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
+            self.released_by_exchange(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
     def exchanges_listed(self, event: it.ExchangeList) -> None:
         self.tell(event)
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -39,7 +39,7 @@
 class ExchangeHandler(Protocol):
     """What the controller does for connections to exchanges, whatever protocol they speak."""
 
-    def set_up_left(self) -> None: ...
+    def set_up_sent(self) -> None: ...
     def call_established(
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
     ) -> None: ...
@@ -51,12 +51,14 @@
         wait_ns: int = 0,
         report: it.Report | None = None,
     ) -> None: ...
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None: ...
-    def group_state(self, exchange: str, report: it.Report | None) -> None: ...
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.Report | None
+    ) -> None: ...
+    def group_state_reported(self, exchange: str, report: it.Report | None) -> None: ...
     def exchange_connected(self, pool: ExchangePool) -> None: ...
-    def exchange_died(self, pool: ExchangePool) -> None: ...
+    def exchange_process_died(self, pool: ExchangePool) -> None: ...
     def dial_failed(self) -> None: ...
-    def connection_ended(self, loss: ConnectionLoss) -> None: ...
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None: ...
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None: ...
 
 
@@ -168,7 +170,7 @@
         if failure is DialFailure.REFUSED and self.lost_at_ns and now - self.lost_at_ns > DEAD_AFTER_NS:
             # Guards against calls that nobody will release any more: their process has died.
             self.lost_at_ns = 0
-            self.handler.exchange_died(self)
+            self.handler.exchange_process_died(self)
         self.dial_later()
 
     def refusal_vouches(self, now_ns: int) -> bool:
@@ -187,7 +189,7 @@
         if connection not in self.connections:
             return
         self.connections.remove(connection)
-        self.handler.connection_ended(loss)
+        self.handler.exchange_connection_lost(loss)
         if not self.closed:
             log.info("exchange connection lost", reason=loss.value, **self.facts(connection))
         lost = {call: release.cause for call, release in connection.releases.items()}
@@ -237,7 +239,7 @@
     ) -> None:
         if cause == ReleaseCause.NORMAL:
             self.liveness.completed(connection.number, call)
-        self.handler.exchange_ended(self, call, cause, report)
+        self.handler.released_by_exchange(self, call, cause, report)
 
     def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None:
         """Every connection is told each state: one that does not get what another has got is mute.
@@ -255,7 +257,7 @@
                 other.behind_ns = other.behind_ns or connection.heard_ns
         if connection.state != self.told_state:
             self.told_state = connection.state
-            self.handler.group_state(self.exchange, report)
+            self.handler.group_state_reported(self.exchange, report)
 
     # Now and then
 
@@ -315,7 +317,7 @@
         for other in self.connections:
             other.releases.pop(request.call, None)
         if connection.set_up(request, now):
-            self.handler.set_up_left()
+            self.handler.set_up_sent()
 
     def flush_queue(self) -> None:
         queue, self.queue = self.queue, {}
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -28,7 +28,7 @@
         self.left = self.failed_dials = 0
         self.losses: list[ConnectionLoss] = []
 
-    def set_up_left(self) -> None:
+    def set_up_sent(self) -> None:
         self.left += 1
 
     def attempt_ended(self, call: str, ending: it.Ending, *_: Any) -> None:
@@ -39,10 +39,12 @@
     ) -> None:
         self.told.put_nowait(("stood", call))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.Report | None
+    ) -> None:
         self.told.put_nowait(("released", call, cause))
 
-    def group_state(self, exchange: str, report: it.Report | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.Report | None) -> None:
         self.told.put_nowait(("state", report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -51,13 +53,13 @@
     def dial_failed(self) -> None:
         self.failed_dials += 1
 
-    def connection_ended(self, loss: ConnectionLoss) -> None:
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.losses.append(loss)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
         self.told.put_nowait(("expired", calls))
 
-    def exchange_died(self, pool: ExchangePool) -> None:
+    def exchange_process_died(self, pool: ExchangePool) -> None:
         self.told.put_nowait(("died",))
 
 
