--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -229,7 +229,7 @@
     def abandon(self, call: str, record: CallRecord, ending: it.Ending) -> None:
         """Give the attempt that is out up; what had not left was never sent."""
         if record.pool is not None and not record.established_ns:
-            left = record.pool.give_up(call)
+            left = record.pool.cancel_set_up(call)
             self.attempt_ended(call, ending if left else it.Ending.NOT_SENT)
 
     def fail(self, call: str, record: CallRecord) -> None:
@@ -327,7 +327,7 @@
         else:
             self.tell(it.CallerLeft(call))
             if pool is not None:
-                pool.give_up(call)
+                pool.cancel_set_up(call)
         self.calls.end(call)
         if pool is not None:
             self.tell(self.outcome(call, record, attempt, it.Ending.CALLED_OFF, over=True))
@@ -386,7 +386,7 @@
             self.caller_ended(call, ReleaseCause.NORMAL)
             return
         self.calls.establish(record, pool, now)
-        pool.hold(connection, call, record.offer.width)
+        pool.record_standing_call(connection, call, record.offer.width)
         log.debug("call stands", call=call, exchange=pool.exchange, connection=record.connection.number)
         self.metrics.passed[record.offer.class_name] += 1
         self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_ns))
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -20,8 +20,8 @@
 REDIAL_FIRST_NS, REDIAL_MOST_NS = 50 * MS, 1000 * MS  # between dials to an exchange that takes none
 REDIAL_WATCHED_NS = 250 * MS  # the most while calls stand there: their lease runs
 DEAD_AFTER_NS = 2000 * MS  # lost and then refused for so long: its process is gone, and its calls with it
-CONNECTIONS_KEPT = 2  # to one exchange
-CONNECTIONS_MOST = 4  # with those that are to replace one
+CONNECTIONS_PER_EXCHANGE = 2  # to one exchange
+MAX_CONNECTIONS_PER_EXCHANGE = 4  # with those that are to replace one
 SILENT_NS = 1000 * MS  # nothing heard on any connection for so long while one is mute: logged as silent
 QUIET_NS = 3000 * MS  # nothing heard at all: a new connection brings the state and the missed releases
 log = structlog.get_logger()
@@ -101,7 +101,7 @@
     # Dials
 
     def dial(self) -> None:
-        if self.closed or self.dialling is not None or len(self.connections) >= CONNECTIONS_MOST:
+        if self.closed or self.dialling is not None or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE:
             return
         if self.redial is not None:
             self.redial.cancel()
@@ -151,7 +151,7 @@
             self.release(call, cause, connection)
         self.flush_queue()
         self.handler.exchange_connected(self)
-        if len(self.connections) < CONNECTIONS_KEPT:
+        if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
             self.dial()
 
     def not_connected(self, failure: DialFailure) -> None:
@@ -204,7 +204,7 @@
             self.release(call, cause)
         if not self.connections:
             self.lost_at_ns = now
-        if len(self.connections) < CONNECTIONS_KEPT:
+        if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
             self.replace_lost(now)
 
     def replace_lost(self, now_ns: int) -> None:
@@ -225,7 +225,7 @@
     def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None:
         self.handler.call_established(self, connection, call, description)
 
-    def hold(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
+    def record_standing_call(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
         """A call stands from now on, at the process behind this connection."""
         self.liveness.established(connection.number, call, circuits)
 
@@ -277,7 +277,7 @@
         quiet = now_ns - max(self.heard_ns, self.vouched_ns, self.connected_at_ns) > QUIET_NS
         if self.connections and (quiet or all_mute) and self.redial is None:
             self.dial()
-        elif len(self.connections) > CONNECTIONS_KEPT:
+        elif len(self.connections) > CONNECTIONS_PER_EXCHANGE:
             self.close_spare()
 
     def close_mute(self, mute: list[ExchangeConnection]) -> None:
@@ -324,7 +324,7 @@
         for request in queue.values():
             self.set_up(request)
 
-    def give_up(self, call: str) -> bool:
+    def cancel_set_up(self, call: str) -> bool:
         """Give a set-up up; whether it had left, so that it may have run."""
         if self.queue.pop(call, None) is not None:
             return False
@@ -354,12 +354,12 @@
 
     def close(self) -> None:
         """The exchange is gone: its set-ups end, and nothing more is dialled."""
-        self.shut()
+        self.close_gracefully()
         self.flush_queue()
         for connection in list(self.connections):
             connection.abort_as(ConnectionLoss.CLOSED_BY_US)
 
-    def shut(self) -> None:
+    def close_gracefully(self) -> None:
         """The end of the program: what has been written still leaves."""
         self.closed = True
         if self.redial is not None:
--- a/arrowkeel/net/membership.py
+++ b/arrowkeel/net/membership.py
@@ -39,7 +39,7 @@
 
     def shut(self) -> None:
         for pool in self.pools.values():
-            pool.shut()
+            pool.close_gracefully()
 
     def apply(self, update: ListUpdate, remembered: bool = False) -> None:
         """Take one event of the list; `remembered` where it is the list as it was before the start."""
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,7 +18,7 @@
 
 from arrowkeel.net.codec import Code, Decoder, Kind, Message, encode
 from arrowkeel.net.config import Clock, Config, read_config
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE
 
 PATIENCE_S = 20.0  # only a failing test waits so long
 CALL, OTHER = "00000000000000a1", "00000000000000b2"
@@ -240,7 +240,7 @@
         self.listen, self.operator_api = (self.address(started, name) for name in ("listen", "operator"))
         self.news = Peer(self.changelog.accept())
         assert self.news.socket.recv(100) == b"since 1\n"
-        for _ in range(CONNECTIONS_KEPT):
+        for _ in range(CONNECTIONS_PER_EXCHANGE):
             self.exchange.opened.get(timeout=PATIENCE_S)
 
     @staticmethod
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -15,7 +15,7 @@
 from arrowkeel.net.codec import Code, Kind
 from arrowkeel.net.config import Address
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT, ExchangePool
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE, ExchangePool
 from arrowkeel.net.metrics import ConnectionLoss
 from tests.peers import CALL, OTHER, Exchange, Listener, Peer, config_of
 
@@ -125,7 +125,7 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
         far.listener.socket.shutdown(socket.SHUT_RDWR)
         far.listener.socket.close()
         far.drop(*lines, reset=end == "reset")
@@ -141,7 +141,7 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
         for line in lines:
             line.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
             line.release(OTHER, 16)
@@ -165,12 +165,12 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         first, second = pool.connections
         for call in (CALL, OTHER, third):
             pool.set_up(order(call))
         assert first.set_ups == {CALL, third}
-        pool.give_up(CALL)
+        pool.cancel_set_up(CALL)
         second.set_ups.clear()
         pool.set_up(order(CALL))
         assert second.set_ups == {CALL}
@@ -191,11 +191,11 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         assert pool.dialling is None and pool.redial is None
 
     play(far.address, story)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,7 +13,7 @@
 
 from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
 from arrowkeel.net.config import Clock, read_config
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE
 from arrowkeel.net.service import Service
 from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
 
@@ -194,7 +194,7 @@
         assert caller.receive() is None and first.wait(PATIENCE_S) == 0
         after = program.caller()
         program.standing(after, OTHER)
-        for _ in range(CONNECTIONS_KEPT):
+        for _ in range(CONNECTIONS_PER_EXCHANGE):
             program.exchange.ended.get(timeout=PATIENCE_S)
         program.exchange.release(CALL, 16)  # of a call that stood before this process began
         assert after.expect(Kind.RELEASE).cause() == 16
