--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -50,7 +50,7 @@
         """
         idle = [each for each in self.connections if each.is_open and not each.open_calls]
         idle.sort(key=self.worth_keeping)
-        connection = next((each for each in idle if not each.has_unread), None)
+        connection = next((each for each in idle if not each.has_unread_bytes), None)
         if connection is None:
             return False
         log.warning("many connections from callers, an idle one closed", open=len(self.connections))
@@ -59,7 +59,7 @@
 
     @staticmethod
     def worth_keeping(connection: CallerConnection) -> tuple[bool, int]:
-        credit_ns = HALF_CREDIT_NS if connection.half_since_ns else 0
+        credit_ns = HALF_CREDIT_NS if connection.incomplete_since_ns else 0
         return connection.taken > 0, connection.heard_at_ns + credit_ns
 
     def leave(self, departure: Departure) -> None:
@@ -82,7 +82,7 @@
             heard_at_ns=connection.heard_at_ns,
             open_calls=len(connection.open_calls),
             standing_calls=len(connection.standing_calls),
-            has_half_message=connection.half_since_ns > 0,
+            has_half_message=connection.incomplete_since_ns > 0,
             has_carried_calls=connection.has_carried_calls,
             is_last=not any(each.is_open and each.has_carried_calls for each in others),
         )
@@ -95,7 +95,7 @@
 
     def send_away(self, connection: CallerConnection, departure: Departure, now_ns: int) -> None:
         """Guards what is on its way: what has come and is not read yet is lost with the connection."""
-        if departure.may_close(self.use_of(connection), now_ns) and not connection.has_unread:
+        if departure.may_close(self.use_of(connection), now_ns) and not connection.has_unread_bytes:
             connection.close()
 
     def release(self, call: str, cause: int, connection: CallerConnection | None) -> None:
--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -114,7 +114,7 @@
         self.heard_at_ns = time.monotonic_ns()
         super().data_received(data)
 
-    def take(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         match message.kind:
             case Kind.SET_UP:
                 self.take_set_up(message)
@@ -155,7 +155,7 @@
             self.has_carried_calls = True
             self.handler.caller_recognised(self)
 
-    def spoilt(self, reason: str) -> None:
+    def handle_protocol_error(self, reason: str) -> None:
         """Each call that is open here gets its final answer before the connection goes."""
         for call in sorted(self.open_calls):
             self.handler.caller_broke(self, call)
@@ -164,19 +164,19 @@
 
     @property
     def first_set_up_ns(self) -> int:
-        return HALF_NS if self.half_since_ns else SILENT_NS
+        return HALF_NS if self.incomplete_since_ns else SILENT_NS
 
     def sweep(self, now_ns: int) -> None:
         """Close what says nothing, or half a message, while the caller is still owed its close."""
         if not self.is_open:
             if self.closing_since_ns and now_ns > self.closing_since_ns + LINGER_NS:
                 self.abort()
-        elif self.has_unread:
+        elif self.has_unread_bytes:
             pass  # what has come is read first: it may be the set-up that was waited for
-        elif self.half_since_ns and now_ns > self.half_since_ns + HALF_NS:
-            self.spoilt("half a message, and no more")
+        elif self.incomplete_since_ns and now_ns > self.incomplete_since_ns + HALF_NS:
+            self.handle_protocol_error("half a message, and no more")
         elif not self.taken and now_ns > self.connected_at_ns + self.first_set_up_ns:
-            self.spoilt("no set-up yet")
+            self.handle_protocol_error("no set-up yet")
 
     def answer(self, call: str, description: bytes) -> bool:
         return self.write(encode(Kind.ANSWER, call, {Code.DESCRIPTION: description}))
--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -22,7 +22,7 @@
 connection_numbers = itertools.count(1)
 
 
-class SparseLog:
+class RateLimitedLog:
     """What bad input causes is logged now and then: a flood of it must not flood the log too."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         log(event, left_out=left_out, **facts)
 
 
-log = SparseLog()
+log = RateLimitedLog()
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
         self.unsent_limit = unsent_limit  # bytes that the peer may leave unread
         self.decoder = Decoder()
         self.transport: asyncio.Transport | None = None
-        self.half_since_ns = 0  # since when a message is begun and not whole; 0 while none is
+        self.incomplete_since_ns = 0  # since when a message is begun and not whole; 0 while none is
         self.closing_since_ns = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -76,7 +76,7 @@
         return self.transport is not None and not self.transport.is_closing()
 
     @property
-    def has_unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether bytes have come that the loop has not handed over yet."""
         held = self.transport.get_extra_info("socket") if self.transport is not None else None
         if held is None or held.fileno() < 0:
@@ -89,22 +89,22 @@
             for message in self.decoder.feed(data):
                 if not self.is_open:
                     return
-                self.take(message)
+                self.handle_message(message)
         except MalformedMessageError as error:
-            self.spoilt(str(error))
+            self.handle_protocol_error(str(error))
         if not self.decoder.buffer:
-            self.half_since_ns = 0
-        elif self.decoder.whole or not self.half_since_ns:
-            self.half_since_ns = time.monotonic_ns()
+            self.incomplete_since_ns = 0
+        elif self.decoder.whole or not self.incomplete_since_ns:
+            self.incomplete_since_ns = time.monotonic_ns()
 
-    def spoilt(self, reason: str) -> None:
+    def handle_protocol_error(self, reason: str) -> None:
         """What comes on this connection can't be told apart any more: it is closed."""
         log.warning(
             "malformed message, connection closed", side=self.side, connection=self.number, reason=reason
         )
         self.abort()
 
-    def take(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         raise NotImplementedError
 
     def write(self, data: bytes) -> bool:
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -93,7 +93,7 @@
 
     def is_mute(self, now_ns: int) -> bool:
         """Whether something is due on it for so long that it must be taken to be dead."""
-        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.half_since_ns) if ns]
+        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.incomplete_since_ns) if ns]
         return bool(since_ns) and now_ns - min(since_ns) > MUTE_NS
 
     def set_up(self, request: SetUpRequest, now_ns: int) -> bool:
@@ -116,7 +116,7 @@
             self.releases[call] = SentRelease(cause, time.monotonic_ns())
         return True
 
-    def take(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message.flaw:
             raise MalformedMessageError(message.flaw)
         self.hear()
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -13,7 +13,7 @@
 from arrowkeel.liveness import ExchangeLiveness, GroupState
 from arrowkeel.net.codec import ReleaseCause
 from arrowkeel.net.config import MS, Address, Config
-from arrowkeel.net.connection import SparseLog
+from arrowkeel.net.connection import RateLimitedLog
 from arrowkeel.net.exchange_connection import MUTE_NS, ExchangeConnection, SetUpRequest
 from arrowkeel.net.metrics import ConnectionLoss
 
@@ -84,7 +84,7 @@
         self.heard_ns = 0  # when anything was last heard, on any connection
         self.vouched_ns = 0  # when a refused dial last showed that the process behind open connections lives
         self.is_silent = False  # as the log was last told
-        self.sparse_log = SparseLog()
+        self.sparse_log = RateLimitedLog()
         self.liveness = ExchangeLiveness(config.settings.is_mesh)
         self.told_state: bytes | None = None  # the group's state as the decisions were last told
         self.queue: dict[str, SetUpRequest] = {}  # set-ups for the next connection
