--- a/arrowkeel/departure.py
+++ b/arrowkeel/departure.py
@@ -15,7 +15,7 @@
 # In standby the last caller's connection stays for so long to carry releases.
 STANDBY_CARRY_NS = 3800 * MS
 # After SIGTERM new connections come for 0.4 s and set-ups for 0.2 s more.
-STOP_TAKES_NS = 700 * MS
+STOP_ACCEPT_NS = 700 * MS
 # SIGKILL comes no sooner than the longest deadline, and at most this, after the last set-up was taken.
 LONGEST_DEADLINE_NS = 3000 * MS
 # What is left for the last answers to be written and read before SIGKILL may come.
@@ -29,16 +29,16 @@
     """What a caller's connection carries at one moment."""
 
     connected_at_ns: int
-    heard_at_ns: int
+    last_received_at_ns: int
     open_calls: int
     standing_calls: int
-    has_half_message: bool
+    has_incomplete_message: bool
     has_carried_calls: bool
-    is_last: bool  # no other connection has carried calls
+    is_last_with_calls: bool  # no other connection has carried calls
 
 
 @dataclass(frozen=True, slots=True)
-class Departure:
+class DrainPlan:
     """From when set-ups are refused, and which connections may be closed."""
 
     close_after_ns: int  # an idle connection is closed from here on
@@ -48,7 +48,7 @@
     answer_all_by_ns: int | None = None  # every open call gets its final answer by then
 
     @classmethod
-    def standby(cls, now_ns: int) -> Departure:
+    def standby(cls, now_ns: int) -> DrainPlan:
         return cls(
             close_after_ns=now_ns + GRACE_NS,
             refuse_after_ns=now_ns + STANDBY_TAKES_NS,
@@ -57,9 +57,9 @@
         )
 
     @classmethod
-    def stop(cls, now_ns: int, longest_deadline_ns: int) -> Departure:
+    def stop(cls, now_ns: int, longest_deadline_ns: int) -> DrainPlan:
         """SIGTERM, where nobody takes over: calls come as before until they can't be finished in time."""
-        takes_until_ns = now_ns + STOP_TAKES_NS
+        takes_until_ns = now_ns + STOP_ACCEPT_NS
         return cls(
             close_after_ns=takes_until_ns,
             refuse_after_ns=takes_until_ns,
@@ -67,24 +67,24 @@
         )
 
     @classmethod
-    def hand_over(cls, now_ns: int, longest_deadline_ns: int) -> Departure:
+    def hand_over(cls, now_ns: int, longest_deadline_ns: int) -> DrainPlan:
         """SIGTERM, where another process accepts on the same socket: connections go as soon as they may."""
         return cls(
             close_after_ns=now_ns + GRACE_NS,
             refuse_after_ns=now_ns + STANDBY_TAKES_NS,
-            carry_until_ns=now_ns + STOP_TAKES_NS,
+            carry_until_ns=now_ns + STOP_ACCEPT_NS,
             answer_all_by_ns=cls.last_answers_ns(now_ns, longest_deadline_ns),
         )
 
     @staticmethod
     def last_answers_ns(now_ns: int, longest_deadline_ns: int) -> int:
         longest_ns = min(longest_deadline_ns, LONGEST_DEADLINE_NS)
-        return now_ns + STOP_TAKES_NS + longest_ns - FINAL_ANSWERS_NS
+        return now_ns + STOP_ACCEPT_NS + longest_ns - FINAL_ANSWERS_NS
 
-    def refuses(self, now_ns: int) -> bool:
+    def refuses_set_ups(self, now_ns: int) -> bool:
         return now_ns > self.refuse_after_ns
 
-    def must_answer_all(self, now_ns: int) -> bool:
+    def must_answer_open_calls(self, now_ns: int) -> bool:
         return self.answer_all_by_ns is not None and now_ns > self.answer_all_by_ns
 
     def may_close(self, use: ConnectionUse, now_ns: int) -> bool:
@@ -93,9 +93,9 @@
             return False
         if use.open_calls or (self.keeps_standing and use.standing_calls):
             return False
-        if use.has_half_message and not self.is_abandoned(use, now_ns):
+        if use.has_incomplete_message and not self.is_abandoned(use, now_ns):
             return False
-        return not (use.has_carried_calls and use.is_last and now_ns < self.carry_until_ns)
+        return not (use.has_carried_calls and use.is_last_with_calls and now_ns < self.carry_until_ns)
 
     def is_abandoned(self, use: ConnectionUse, now_ns: int) -> bool:
-        return self.answer_all_by_ns is not None and now_ns > use.heard_at_ns + ABANDONED_NS
+        return self.answer_all_by_ns is not None and now_ns > use.last_received_at_ns + ABANDONED_NS
--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from arrowkeel.departure import ConnectionUse, Departure
+from arrowkeel.departure import ConnectionUse, DrainPlan
 from arrowkeel.net.callers import CallerConnection
 from arrowkeel.net.config import MS, Bounds
 from arrowkeel.net.connection import log
@@ -22,7 +22,7 @@
         self.bounds = bounds
         self.connections: dict[CallerConnection, None] = {}
         self.waiting_releases: dict[str, int] = {}  # for the next caller's connection, with their causes
-        self.departure: Departure | None = None  # while connections are to go
+        self.departure: DrainPlan | None = None  # while connections are to go
 
     def connected(self, connection: CallerConnection) -> None:
         if len(self.connections) >= self.bounds.caller_connections and not self.shed():
@@ -62,7 +62,7 @@
         credit_ns = HALF_CREDIT_NS if connection.incomplete_since_ns else 0
         return connection.taken > 0, connection.heard_at_ns + credit_ns
 
-    def leave(self, departure: Departure) -> None:
+    def leave(self, departure: DrainPlan) -> None:
         """Each connection goes once nothing is lost with it, until they may stay again."""
         self.departure = departure
 
@@ -70,21 +70,21 @@
         self.departure = None
 
     def refuses(self, now_ns: int) -> bool:
-        return self.departure is not None and self.departure.refuses(now_ns)
+        return self.departure is not None and self.departure.refuses_set_ups(now_ns)
 
     def must_answer_all(self, now_ns: int) -> bool:
-        return self.departure is not None and self.departure.must_answer_all(now_ns)
+        return self.departure is not None and self.departure.must_answer_open_calls(now_ns)
 
     def use_of(self, connection: CallerConnection) -> ConnectionUse:
         others = (each for each in self.connections if each is not connection)
         return ConnectionUse(
             connected_at_ns=connection.connected_at_ns,
-            heard_at_ns=connection.heard_at_ns,
+            last_received_at_ns=connection.heard_at_ns,
             open_calls=len(connection.open_calls),
             standing_calls=len(connection.standing_calls),
-            has_half_message=connection.incomplete_since_ns > 0,
+            has_incomplete_message=connection.incomplete_since_ns > 0,
             has_carried_calls=connection.has_carried_calls,
-            is_last=not any(each.is_open and each.has_carried_calls for each in others),
+            is_last_with_calls=not any(each.is_open and each.has_carried_calls for each in others),
         )
 
     def sweep(self, now_ns: int) -> None:
@@ -93,7 +93,7 @@
             if self.departure is not None and connection.is_open:
                 self.send_away(connection, self.departure, now_ns)
 
-    def send_away(self, connection: CallerConnection, departure: Departure, now_ns: int) -> None:
+    def send_away(self, connection: CallerConnection, departure: DrainPlan, now_ns: int) -> None:
         """Guards what is on its way: what has come and is not read yet is lost with the connection."""
         if departure.may_close(self.use_of(connection), now_ns) and not connection.has_unread_bytes:
             connection.close()
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from arrowkeel.departure import STOP_TAKES_NS, Departure
+from arrowkeel.departure import STOP_ACCEPT_NS, DrainPlan
 from arrowkeel.net.callers import CallerConnection
 from arrowkeel.net.config import MS, Config, ConfigError
 from arrowkeel.net.controller import Controller
@@ -104,7 +104,7 @@
             self.state = ServiceState.STANDBY
             log.info("standby", **self.load())
             self.controller.takes_calls = False
-            self.controller.callers.leave(Departure.standby(time.monotonic_ns()))
+            self.controller.callers.leave(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def active(self) -> bool:
@@ -136,13 +136,13 @@
             return
         now, longest_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
         self.state = ServiceState.STOPPING
-        self.stop_at_ns = now + STOP_TAKES_NS
+        self.stop_at_ns = now + STOP_ACCEPT_NS
         log.info("stopping", **self.load())
         if self.config.accept_fd is not None:
             self.close_server()
-            self.controller.callers.leave(Departure.hand_over(now, longest_ns))
+            self.controller.callers.leave(DrainPlan.hand_over(now, longest_ns))
         else:
-            self.controller.callers.leave(Departure.stop(now, longest_ns))
+            self.controller.callers.leave(DrainPlan.stop(now, longest_ns))
         self.finish_if_due()
 
     def close_server(self) -> None:
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from arrowkeel.departure import MS, ConnectionUse, Departure
+from arrowkeel.departure import MS, ConnectionUse, DrainPlan
 
 START = 10_000 * MS
 IDLE = ConnectionUse(
     connected_at_ns=0,
-    heard_at_ns=START,
+    last_received_at_ns=START,
     open_calls=0,
     standing_calls=0,
-    has_half_message=False,
+    has_incomplete_message=False,
     has_carried_calls=False,
-    is_last=False,
+    is_last_with_calls=False,
 )
 
 
@@ -26,8 +26,8 @@
         ({}, True, True),
         ({"open_calls": 1}, False, False),
         ({"standing_calls": 1}, False, True),
-        ({"has_half_message": True}, False, True),  # nothing more has come of it for long
-        ({"has_half_message": True, "heard_at_ns": START + 4900 * MS}, False, False),
+        ({"has_incomplete_message": True}, False, True),  # nothing more has come of it for long
+        ({"has_incomplete_message": True, "last_received_at_ns": START + 4900 * MS}, False, False),
         ({"connected_at_ns": START + 4900 * MS}, False, False),
     ],
 )
@@ -35,29 +35,29 @@
     changes: dict[str, int], standby: bool, stop: bool
 ) -> None:
     use, later = replace(IDLE, **changes), START + 5000 * MS  # type: ignore[arg-type]
-    assert Departure.standby(START).may_close(use, later) is standby
-    assert Departure.stop(START, 9000 * MS).may_close(use, later) is stop
+    assert DrainPlan.standby(START).may_close(use, later) is standby
+    assert DrainPlan.stop(START, 9000 * MS).may_close(use, later) is stop
 
 
 def test_the_last_connection_that_carried_calls_stays_a_while_in_standby() -> None:
-    departure, last = Departure.standby(START), replace(IDLE, has_carried_calls=True, is_last=True)
+    departure, last = DrainPlan.standby(START), replace(IDLE, has_carried_calls=True, is_last_with_calls=True)
     assert not departure.may_close(last, START + 3700 * MS)
-    assert departure.may_close(replace(last, is_last=False), START + 3700 * MS)
+    assert departure.may_close(replace(last, is_last_with_calls=False), START + 3700 * MS)
     assert departure.may_close(last, START + 3900 * MS)
 
 
 def test_set_ups_are_taken_for_a_while_and_then_refused() -> None:
-    for departure, taken_ms in ((Departure.standby(START), 1900), (Departure.stop(START, 9000 * MS), 700)):
-        assert not departure.refuses(START + taken_ms * MS)
-        assert departure.refuses(START + (taken_ms + 1) * MS)
+    for departure, taken_ms in ((DrainPlan.standby(START), 1900), (DrainPlan.stop(START, 9000 * MS), 700)):
+        assert not departure.refuses_set_ups(START + taken_ms * MS)
+        assert departure.refuses_set_ups(START + (taken_ms + 1) * MS)
 
 
 @pytest.mark.parametrize(("longest_ms", "kill_ms"), [(9000, 3700), (1000, 1700)])
 def test_all_is_answered_before_the_kill_may_come(longest_ms: int, kill_ms: int) -> None:
     for departure in (
-        Departure.stop(START, longest_ms * MS),
-        Departure.hand_over(START, longest_ms * MS),
+        DrainPlan.stop(START, longest_ms * MS),
+        DrainPlan.hand_over(START, longest_ms * MS),
     ):
-        assert not departure.must_answer_all(START + (kill_ms - 300) * MS)
-        assert departure.must_answer_all(START + (kill_ms - 200) * MS)
-    assert not Departure.standby(START).must_answer_all(START + 60_000 * MS)
+        assert not departure.must_answer_open_calls(START + (kill_ms - 300) * MS)
+        assert departure.must_answer_open_calls(START + (kill_ms - 200) * MS)
+    assert not DrainPlan.standby(START).must_answer_open_calls(START + 60_000 * MS)
