--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -61,7 +61,7 @@
         for index, update in enumerate(self.config.known):
             self.membership.apply(update, remembered=index == 0)
         self.changelog.start()
-        dials = [pool.dialling for pool in self.pools.values() if pool.dialling is not None]
+        dials = [pool.dial_task for pool in self.pools.values() if pool.dial_task is not None]
         await asyncio.gather(*dials, return_exceptions=True)
 
     def sweep(self, now: int) -> None:
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -74,7 +74,7 @@
         self.serving = True
         self.closed = False
         self.connections: list[ExchangeConnection] = []  # the open ones, the first opened first
-        self.dialling: asyncio.Task[None] | None = None
+        self.dial_task: asyncio.Task[None] | None = None
         self.redial: asyncio.TimerHandle | None = None
         self.redial_gap_ns = REDIAL_FIRST_NS
         self.connected_at_ns = 0
@@ -101,13 +101,13 @@
     # Dials
 
     def dial(self) -> None:
-        if self.closed or self.dialling is not None or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE:
+        if self.closed or self.dial_task is not None or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE:
             return
         if self.redial is not None:
             self.redial.cancel()
             self.redial = None
         until_ns = time.monotonic_ns() + self.dial_ns
-        self.dialling = asyncio.get_running_loop().create_task(self.connect(until_ns))
+        self.dial_task = asyncio.get_running_loop().create_task(self.connect(until_ns))
 
     def dial_later(self) -> None:
         if self.closed or self.redial is not None:
@@ -134,7 +134,7 @@
             connection.abort()
             raise
         finally:
-            self.dialling = None
+            self.dial_task = None
         if self.closed:
             connection.abort()
         elif failure is None and connection.is_open:
@@ -364,8 +364,8 @@
         self.closed = True
         if self.redial is not None:
             self.redial.cancel()
-        if self.dialling is not None:
-            self.dialling.cancel()
+        if self.dial_task is not None:
+            self.dial_task.cancel()
         for connection in list(self.connections):
             connection.close()
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -196,7 +196,7 @@
         await swept(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
         await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
-        assert pool.dialling is None and pool.redial is None
+        assert pool.dial_task is None and pool.redial is None
 
     play(far.address, story)
 
