--- a/arrowkeel/liveness.py
+++ b/arrowkeel/liveness.py
@@ -131,7 +131,7 @@
         if lease is not None:
             lease.calls[call] = circuits
 
-    def call_ended(self, call: str) -> None:
+    def remove_call(self, call: str) -> None:
         for lease in self.leases:
             lease.calls.pop(call, None)
         self.forget_empty()
--- a/arrowkeel/net/calls.py
+++ b/arrowkeel/net/calls.py
@@ -103,7 +103,7 @@
     def leave_standing(self, record: CallRecord, pool: ExchangePool) -> None:
         call = record.offer.call
         record.connection.standing_calls.discard(call)
-        pool.liveness.call_ended(call)
+        pool.liveness.remove_call(call)
         calls = self.standing.get(pool.exchange, set())
         calls.discard(call)
         if not calls:
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -97,7 +97,7 @@
     liveness.opened(NEW, later)
     liveness.heard(NEW, later)
     liveness.completed(NEW, "b2")
-    liveness.call_ended("b2")
+    liveness.remove_call("b2")
     assert liveness.take_expired(later + LEASE_NS - 1) == []
 
 
@@ -116,7 +116,7 @@
     for connection in (FIRST, SECOND):
         liveness.closed(connection, START + 20, by_peer=False)
     assert liveness.leases
-    liveness.call_ended(CALL)
+    liveness.remove_call(CALL)
     assert not liveness.leases and not liveness.has_calls()
 
 
@@ -125,7 +125,7 @@
     assert not liveness.is_witness(FIRST)
     liveness.closed(SECOND, START + 20, by_peer=False)
     assert liveness.is_witness(FIRST)
-    liveness.call_ended(CALL)
+    liveness.remove_call(CALL)
     assert not liveness.is_witness(FIRST)
 
 
