--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -61,7 +61,7 @@
         for index, update in enumerate(self.config.known):
             self.membership.apply(update, remembered=index == 0)
         self.changelog.start()
-        dials = [pool.dialling for pool in self.pools.values() if pool.dialling is not None]
+        dials = [pool.dial_task for pool in self.pools.values() if pool.dial_task is not None]
         await asyncio.gather(*dials, return_exceptions=True)
 
     def sweep(self, now: int) -> None:
@@ -229,7 +229,7 @@
     def abandon(self, call: str, record: CallRecord, ending: it.Ending) -> None:
         """Give the attempt that is out up; what had not left was never sent."""
         if record.pool is not None and not record.established_ns:
-            left = record.pool.give_up(call)
+            left = record.pool.cancel_set_up(call)
             self.attempt_ended(call, ending if left else it.Ending.NOT_SENT)
 
     def fail(self, call: str, record: CallRecord) -> None:
@@ -327,7 +327,7 @@
         else:
             self.tell(it.CallerLeft(call))
             if pool is not None:
-                pool.give_up(call)
+                pool.cancel_set_up(call)
         self.calls.end(call)
         if pool is not None:
             self.tell(self.outcome(call, record, attempt, it.Ending.CANCELLED, over=True))
@@ -386,12 +386,14 @@
             self.caller_ended(call, ReleaseCause.NORMAL)
             return
         self.calls.establish(record, pool, now)
-        pool.hold(connection, call, record.offer.width)
+        pool.record_standing_call(connection, call, record.offer.width)
         log.debug("call stands", call=call, exchange=pool.exchange, connection=record.connection.number)
         self.metrics.passed[record.offer.class_name] += 1
         self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_ns))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None) -> None:
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
+    ) -> None:
         """The release of a call that stands, also of one that stood before our start."""
         record = self.calls.get(call)
         if record is None:
@@ -406,10 +408,10 @@
             self.callers.release(call, cause, record.connection)
             self.tell(replace(outcome, report=report))
 
-    def set_up_left(self) -> None:
+    def set_up_sent(self) -> None:
         self.metrics.upstream_tries += 1
 
-    def group_state(self, exchange: str, report: it.LoadReport | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None:
         self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -420,12 +422,12 @@
     def dial_failed(self) -> None:
         self.metrics.dials_failed += 1
 
-    def connection_ended(self, loss: ConnectionLoss) -> None:
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.metrics.exchange_connections_lost[loss] += 1
 
     # Calls that nobody will release any more
 
-    def exchange_died(self, pool: ExchangePool) -> None:
+    def exchange_process_died(self, pool: ExchangePool) -> None:
         self.process_gone(pool, time.monotonic_ns(), ReleaseReason.REFUSING)
 
     def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None:
@@ -454,7 +456,7 @@
         )
         self.metrics.standing_released[reason] += len(calls)
         for call in calls:
-            self.exchange_ended(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
+            self.released_by_exchange(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
     def exchanges_listed(self, event: it.ExchangeList) -> None:
         self.tell(event)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -15,7 +15,7 @@
 from arrowkeel.net.codec import Code, Kind
 from arrowkeel.net.config import Address
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT, ExchangePool
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE, ExchangePool
 from arrowkeel.net.metrics import ConnectionLoss
 from tests.peers import CALL, OTHER, Exchange, Listener, Peer, config_of
 
@@ -28,7 +28,7 @@
         self.left = self.failed_dials = 0
         self.losses: list[ConnectionLoss] = []
 
-    def set_up_left(self) -> None:
+    def set_up_sent(self) -> None:
         self.left += 1
 
     def attempt_ended(self, call: str, ending: it.Ending, *_: Any) -> None:
@@ -39,10 +39,12 @@
     ) -> None:
         self.told.put_nowait(("stood", call))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None) -> None:
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
+    ) -> None:
         self.told.put_nowait(("released", call, cause))
 
-    def group_state(self, exchange: str, report: it.LoadReport | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None:
         self.told.put_nowait(("state", report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -51,13 +53,13 @@
     def dial_failed(self) -> None:
         self.failed_dials += 1
 
-    def connection_ended(self, loss: ConnectionLoss) -> None:
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.losses.append(loss)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
         self.told.put_nowait(("expired", calls))
 
-    def exchange_died(self, pool: ExchangePool) -> None:
+    def exchange_process_died(self, pool: ExchangePool) -> None:
         self.told.put_nowait(("died",))
 
 
@@ -123,7 +125,7 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
         far.listener.socket.shutdown(socket.SHUT_RDWR)
         far.listener.socket.close()
         far.drop(*lines, reset=end == "reset")
@@ -139,7 +141,7 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
         for line in lines:
             line.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
             line.release(OTHER, 16)
@@ -166,12 +168,12 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         first, second = pool.connections
         for call in (CALL, OTHER, third):
             pool.set_up(order(call))
         assert first.set_ups == {CALL, third}
-        pool.give_up(CALL)
+        pool.cancel_set_up(CALL)
         second.set_ups.clear()
         pool.set_up(order(CALL))
         assert second.set_ups == {CALL}
@@ -192,12 +194,12 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
-        assert pool.dialling is None and pool.redial is None
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
+        assert pool.dial_task is None and pool.redial is None
 
     play(far.address, story)
 
