--- a/arrowkeel/__main__.py
+++ b/arrowkeel/__main__.py
@@ -12,12 +12,12 @@
 import structlog
 import uvloop
 
-from arrowkeel.net.config import Clock, Config, ConfigError, read_config
+from arrowkeel.net.config import ClockOffset, Config, ConfigError, read_config
 from arrowkeel.net.controller import Controller
 from arrowkeel.net.service import Service
 
 
-def load(clock: Clock) -> Config:
+def load(clock_offset: ClockOffset) -> Config:
     path = os.environ.get("LB_CONFIG", "")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
@@ -25,13 +25,13 @@
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
-    return read_config(text, clock, os.environ)
+    return read_config(text, clock_offset, os.environ)
 
 
 def reload(controller: Controller) -> None:
     """Guards the calls that are open: a file that cannot be used, or the signal itself, must not end them."""
     try:
-        config = load(controller.config.clock)
+        config = load(controller.config.clock_offset)
     except ConfigError as error:
         structlog.get_logger().error("configuration not taken, the old one stays", reason=str(error))
     else:
@@ -65,7 +65,7 @@
         cache_logger_on_first_use=True,
     )
     try:
-        uvloop.run(serve(load(Clock.now())))
+        uvloop.run(serve(load(ClockOffset.measure())))
     except ConfigError as error:
         print(f"arrowkeel cannot start: {error}", file=sys.stderr)
         return 2
--- a/arrowkeel/net/changelog.py
+++ b/arrowkeel/net/changelog.py
@@ -10,7 +10,14 @@
 
 import structlog
 
-from arrowkeel.net.config import MS, Address, Clock, ListUpdate, MalformedListUpdateError, read_list_update
+from arrowkeel.net.config import (
+    MS,
+    Address,
+    ClockOffset,
+    ListUpdate,
+    MalformedListUpdateError,
+    read_list_update,
+)
 
 # A line comes each second; two missing ones and a dial leave time within the 4 s that a stop is given.
 SILENCE_NS = 2200 * MS
@@ -77,9 +84,14 @@
     """
 
     def __init__(
-        self, address: Address, last: int, clock: Clock, tell: Callable[[ListUpdate], None], line_limit: int
+        self,
+        address: Address,
+        last: int,
+        clock_offset: ClockOffset,
+        tell: Callable[[ListUpdate], None],
+        line_limit: int,
     ) -> None:
-        self.address, self.last, self.clock, self.tell = address, last, clock, tell
+        self.address, self.last, self.clock_offset, self.tell = address, last, clock_offset, tell
         self.line_limit = line_limit
         self.heard_at_ns = self.opened_at_ns = time.monotonic_ns()
         self.failures = 0  # connections that could not be made, ended or fell silent
@@ -170,7 +182,7 @@
             raw = json.loads(line)
         except (ValueError, RecursionError) as error:
             raise MalformedListUpdateError(f"not JSON ({error})") from None
-        update = read_list_update(raw, self.clock)
+        update = read_list_update(raw, self.clock_offset)
         is_event = len(raw) > 1
         # Guards against a lost event: numbers come in order, and the last one told is one we have.
         # What a new connection starts with is all there is, so its first number may lie further on.
--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -57,20 +57,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clock:
+class ClockOffset:
     """The one place where the list's Unix milliseconds become the module's monotonic nanoseconds.
 
     The distance is taken once, so that an entry told twice has the same start both times.
     """
 
-    unix_ahead_ns: int
+    unix_minus_monotonic_ns: int
 
     @classmethod
-    def now(cls) -> Clock:
+    def measure(cls) -> ClockOffset:
         return cls(time.time_ns() - time.monotonic_ns())
 
-    def monotonic_ns(self, unix_ms: int) -> int:
-        return max(0, unix_ms * MS - self.unix_ahead_ns) if unix_ms > 0 else 0
+    def to_monotonic_ns(self, unix_ms: int) -> int:
+        return max(0, unix_ms * MS - self.unix_minus_monotonic_ns) if unix_ms > 0 else 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
     settings: it.Settings
     report_names: tuple[str, ...]
     dial_ns: int
-    clock: Clock
+    clock_offset: ClockOffset
 
 
 def read_address(value: object, where: str, least_port: int = 1) -> Address:
@@ -135,7 +135,7 @@
     return value
 
 
-def read_entry(raw: Any, clock: Clock) -> Entry:
+def read_entry(raw: Any, clock_offset: ClockOffset) -> Entry:
     try:
         identity, lifecycle = raw["instanceId"], raw["lifecycle"]
         if not isinstance(identity, str) or not identity or lifecycle not in LIFECYCLES:
@@ -147,7 +147,7 @@
             zone=str(raw.get("zone", "")),
             kind=str(raw.get("machineType", "")),
             rating=float(raw.get("weight", 1.0)),
-            started_ns=clock.monotonic_ns(int(raw.get("startedAtMs") or 0)),
+            started_ns=clock_offset.to_monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
         gone = listed.listing is it.Listing.GONE
         return Entry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
@@ -157,7 +157,7 @@
         raise MalformedListUpdateError(str(error)) from None
 
 
-def read_list_update(raw: Any, clock: Clock) -> ListUpdate:
+def read_list_update(raw: Any, clock_offset: ClockOffset) -> ListUpdate:
     """One event; raises MalformedListUpdateError on what cannot be read. Others are only counted."""
     seq = raw.get("seq") if isinstance(raw, dict) else None
     if not isinstance(seq, int) or isinstance(seq, bool) or seq < 0:
@@ -169,11 +169,11 @@
     if not isinstance(instances, list):
         raise MalformedListUpdateError("fleet.instances: not a list")
     return ListUpdate(
-        seq, bool(fleet.get("reset", False)), tuple(read_entry(entry, clock) for entry in instances)
+        seq, bool(fleet.get("reset", False)), tuple(read_entry(entry, clock_offset) for entry in instances)
     )
 
 
-def read_config(text: str, clock: Clock, environment: Mapping[str, str] | None = None) -> Config:
+def read_config(text: str, clock_offset: ClockOffset, environment: Mapping[str, str] | None = None) -> Config:
     environment = environment or {}
     try:
         raw = json.loads(text)
@@ -195,7 +195,7 @@
         raise ConfigError(f"limits.memory_mb: the program alone takes {PROGRAM_BYTES >> 20}")
     try:
         updates = tuple(
-            read_list_update(entry, clock) for entry in field_of(known, "results", list, "known.")
+            read_list_update(entry, clock_offset) for entry in field_of(known, "results", list, "known.")
         )
     except MalformedListUpdateError as error:
         raise ConfigError(f"known.results: {error}") from None
@@ -223,5 +223,5 @@
         settings=read,
         report_names=names,
         dial_ns=field_of(allowed, "dialTimeoutNs", int, "settings.permissions."),
-        clock=clock,
+        clock_offset=clock_offset,
     )
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -43,7 +43,7 @@
         self.changelog = ChangeLog(
             config.changelog,
             config.last_seq,
-            config.clock,
+            config.clock_offset,
             self.membership.apply,
             config.bounds.change_log_line,
         )
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from arrowkeel.net.codec import Code, Decoder, Kind, Message, encode
-from arrowkeel.net.config import Clock, Config, read_config
+from arrowkeel.net.config import ClockOffset, Config, read_config
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
 
 PATIENCE_S = 20.0  # only a failing test waits so long
@@ -199,7 +199,7 @@
     """What a configuration like the program's below comes to, for a part of it alone."""
     raw = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "limits": LIMITS, "settings": SETTINGS}
     raw |= {"changelog": "127.0.0.1:1", "known": {"seq": 1, "results": []}, **changes}
-    return read_config(json.dumps(raw), Clock.now())
+    return read_config(json.dumps(raw), ClockOffset.measure())
 
 
 class Program:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -12,7 +12,7 @@
 import pytest
 
 from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
-from arrowkeel.net.config import Clock, read_config
+from arrowkeel.net.config import ClockOffset, read_config
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
 from arrowkeel.net.service import Service
 from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
@@ -152,7 +152,9 @@
     address = held.getsockname()
 
     async def run() -> None:
-        config = read_config(json.dumps(scripted.config), Clock.now(), {"LB_ACCEPT_FD": str(held.detach())})
+        config = read_config(
+            json.dumps(scripted.config), ClockOffset.measure(), {"LB_ACCEPT_FD": str(held.detach())}
+        )
         service = Service(config)
         await service.start()
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -13,7 +13,7 @@
 
 from arrowkeel.net.callers import BAD_SET_UPS_LIMIT
 from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
-from arrowkeel.net.config import Clock, read_config
+from arrowkeel.net.config import ClockOffset, read_config
 from arrowkeel.net.service import Service
 from tests.peers import CALL, OTHER, SETTINGS, Exchange, Listener, Peer, Program, event, instance, running
 
@@ -354,7 +354,7 @@
     scripted = Program(tmp_path)
 
     async def run() -> None:
-        config = read_config(json.dumps(scripted.config), Clock.now())
+        config = read_config(json.dumps(scripted.config), ClockOffset.measure())
         service = Service(config)
         await service.start()
         assert service.server is not None
