--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -25,7 +25,7 @@
         self.departure: Departure | None = None  # while connections are to go
 
     def connected(self, connection: CallerConnection) -> None:
-        if len(self.connections) >= self.bounds.caller_connections and not self.shed():
+        if len(self.connections) >= self.bounds.max_caller_connections and not self.shed():
             log.warning("no idle connection from callers, the newest closed", open=len(self.connections))
             connection.abort()
             return
@@ -110,7 +110,7 @@
         for other in sorted(others, key=lambda each: each.heard_at_ns, reverse=True):
             if other.release_standing(call, cause):
                 return
-        if len(self.waiting_releases) < self.bounds.records:
+        if len(self.waiting_releases) < self.bounds.max_table_entries:
             self.waiting_releases[call] = cause
 
     async def close(self, until_ns: int) -> None:
--- a/arrowkeel/net/calls.py
+++ b/arrowkeel/net/calls.py
@@ -39,7 +39,8 @@
         self.open_count = 0
         self.description_bytes = 0  # held for open calls
         self.standing: dict[str, set[str]] = {}  # by exchange
-        self.ended = RecentNames(bounds.records)  # what crosses a call's end, or comes twice, is of none
+        # what crosses a call's end, or comes twice, is of none
+        self.ended = RecentNames(bounds.max_table_entries)
 
     def __len__(self) -> int:
         return len(self.records)
@@ -57,7 +58,8 @@
     @property
     def is_full(self) -> bool:
         return (
-            len(self.records) >= self.bounds.open_calls or self.description_bytes > self.bounds.descriptions
+            len(self.records) >= self.bounds.max_calls
+            or self.description_bytes > self.bounds.max_description_bytes
         )
 
     def open_calls(self) -> list[str]:
--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -77,14 +77,14 @@
 class Bounds:
     """What tables and buffers may hold, as parts of the memory and descriptors that the limits state."""
 
-    caller_connections: int  # connections from callers, who hold at most a third of the descriptors
-    operator_connections: int  # connections from operators
-    backlog: int  # connections that the machine may have accepted and we have not yet seen
-    open_calls: int
-    descriptions: int  # bytes, of all calls that may still be sent
-    records: int  # small entries of a table: ended calls, kept releases
-    unsent: int  # bytes that one peer may leave unread
-    change_log_line: int  # bytes of one line of the change log
+    max_caller_connections: int  # connections from callers, who hold at most a third of the descriptors
+    max_operator_connections: int  # connections from operators
+    accept_backlog: int  # connections that the machine may have accepted and we have not yet seen
+    max_calls: int
+    max_description_bytes: int  # bytes, of all calls that may still be sent
+    max_table_entries: int  # small entries of a table: ended calls, kept releases
+    max_unsent_bytes: int  # bytes that one peer may leave unread
+    max_change_log_line_bytes: int  # bytes of one line of the change log
 
     @classmethod
     def within(cls, memory: int, descriptors: int, most_open: int, shared: bool = False) -> Bounds:
@@ -92,14 +92,15 @@
         spare = max(PROGRAM_BYTES // 4, memory - PROGRAM_BYTES)
         caller_connections = int(descriptors * (SHARED_CONNECTIONS_SHARE if shared else CONNECTIONS_SHARE))
         return cls(
-            caller_connections=caller_connections,
-            operator_connections=max(4, descriptors // 12),
-            backlog=2 * descriptors,  # a crowd must not make usual callers wait a second for the next try
-            open_calls=min(most_open, spare // 4096),
-            descriptions=spare // 4,
-            records=spare // 16384,
-            unsent=max(32 << 10, spare // (2 * caller_connections)),
-            change_log_line=spare // 8,
+            max_caller_connections=caller_connections,
+            max_operator_connections=max(4, descriptors // 12),
+            # a crowd must not make usual callers wait a second for the next try
+            accept_backlog=2 * descriptors,
+            max_calls=min(most_open, spare // 4096),
+            max_description_bytes=spare // 4,
+            max_table_entries=spare // 16384,
+            max_unsent_bytes=max(32 << 10, spare // (2 * caller_connections)),
+            max_change_log_line_bytes=spare // 8,
         )
 
 
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -45,7 +45,7 @@
             config.last_seq,
             config.clock_offset,
             self.membership.apply,
-            config.bounds.change_log_line,
+            config.bounds.max_change_log_line_bytes,
         )
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
         self.takes_calls = True  # what tests of a caller's connection are told
@@ -336,7 +336,7 @@
         pool = self.membership.any_open()
         if pool is not None:
             pool.release(call, cause)
-        elif len(self.waiting_releases) < self.config.bounds.records:
+        elif len(self.waiting_releases) < self.config.bounds.max_table_entries:
             self.waiting_releases[call] = cause
 
     # From exchanges
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -117,7 +117,7 @@
 
     async def connect(self, until_ns: int) -> None:
         loop = asyncio.get_running_loop()
-        connection = ExchangeConnection(self.exchange, self.bounds.unsent, self)
+        connection = ExchangeConnection(self.exchange, self.bounds.max_unsent_bytes, self)
         failure: DialFailure | None = None
         try:
             async with asyncio.timeout_at(loop.time() + (until_ns - time.monotonic_ns()) / 1e9):
@@ -298,7 +298,7 @@
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         elif connections := self.usable():
             self.send(request, min(connections, key=lambda each: len(each.set_ups)))
-        elif len(self.queue) >= self.bounds.records:
+        elif len(self.queue) >= self.bounds.max_table_entries:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         else:
             self.queue[request.call] = request
@@ -336,9 +336,9 @@
     def release(self, call: str, cause: int, connection: ExchangeConnection | None = None) -> None:
         """Release a call there, on that connection or any; it waits until one exists."""
         connection = connection or next(iter(self.usable()), None)
-        if connection is not None and connection.release(call, cause, self.bounds.records):
+        if connection is not None and connection.release(call, cause, self.bounds.max_table_entries):
             return
-        if len(self.waiting_releases) < self.bounds.records:
+        if len(self.waiting_releases) < self.bounds.max_table_entries:
             self.waiting_releases[call] = cause
             self.dial()
 
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -36,7 +36,7 @@
         self.controller = Controller(config, Policy(config.settings, config.seed))
         self.loop = asyncio.get_running_loop()
         self.state = ServiceState.STARTING
-        self.operator_api = OperatorApi(self, config.bounds.operator_connections)
+        self.operator_api = OperatorApi(self, config.bounds.max_operator_connections)
         self.server: asyncio.Server | None = None
         self.stop_at_ns = 0
         self.finished: asyncio.Future[None] = self.loop.create_future()
@@ -66,16 +66,16 @@
         config = self.config
 
         def line() -> CallerConnection:
-            return CallerConnection(self.controller, config.bounds.unsent)
+            return CallerConnection(self.controller, config.bounds.max_unsent_bytes)
 
         if config.accept_fd is not None:  # the platform's socket: whoever runs after us has it too
             held = socket.socket(fileno=config.accept_fd)
             return await self.loop.create_server(
-                line, sock=held, backlog=config.bounds.backlog, start_serving=False
+                line, sock=held, backlog=config.bounds.accept_backlog, start_serving=False
             )
         host, port = config.listen.host, config.listen.port
         return await self.loop.create_server(
-            line, host, port, backlog=config.bounds.backlog, start_serving=False
+            line, host, port, backlog=config.bounds.accept_backlog, start_serving=False
         )
 
     @property
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -264,7 +264,7 @@
         while line.write(bytes(16384)):
             most, sent = max(most, line.transport.get_write_buffer_size()), sent + 1
             assert sent < 10_000, "nothing bounds what is held for it"
-        assert most <= pool.bounds.unsent and not line.is_open
+        assert most <= pool.bounds.max_unsent_bytes and not line.is_open
         peer.socket.close()
 
     play(far.address, story)
