--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ExchangeEntry:
     """An exchange as the list names it: what the module is told, and where it listens."""
 
     listed: it.ListedExchange
@@ -52,8 +52,8 @@
     """One numbered event of the list; without entries it tells only the last number."""
 
     seq: int
-    complete: bool = False
-    entries: tuple[Entry, ...] | None = None
+    is_complete: bool = False
+    entries: tuple[ExchangeEntry, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,11 +113,11 @@
     seed: int
     bounds: Bounds
     changelog: Address
-    known: tuple[ListUpdate, ...]
+    initial_updates: tuple[ListUpdate, ...]
     last_seq: int
     settings: it.Settings
     report_names: tuple[str, ...]
-    dial_ns: int
+    dial_timeout_ns: int
     clock_offset: ClockOffset
 
 
@@ -136,7 +136,7 @@
     return value
 
 
-def read_entry(raw: Any, clock_offset: ClockOffset) -> Entry:
+def read_entry(raw: Any, clock_offset: ClockOffset) -> ExchangeEntry:
     try:
         identity, lifecycle = raw["instanceId"], raw["lifecycle"]
         if not isinstance(identity, str) or not identity or lifecycle not in LIFECYCLES:
@@ -151,7 +151,7 @@
             started_ns=clock_offset.to_monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
         gone = listed.listing is it.Listing.GONE
-        return Entry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
+        return ExchangeEntry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
     except KeyError as error:
         raise MalformedListUpdateError(f"{error.args[0]}: missing") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
@@ -219,10 +219,10 @@
             memory, descriptors, field_of(allowed, "maxOpen", int, "settings.permissions."), bool(held)
         ),
         changelog=read_address(raw.get("changelog"), "changelog"),
-        known=updates,
+        initial_updates=updates,
         last_seq=field_of(known, "seq", int, "known."),
         settings=read,
         report_names=names,
-        dial_ns=field_of(allowed, "dialTimeoutNs", int, "settings.permissions."),
+        dial_timeout_ns=field_of(allowed, "dialTimeoutNs", int, "settings.permissions."),
         clock_offset=clock_offset,
     )
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -58,7 +58,7 @@
 
     async def start(self) -> None:
         """Returns once each exchange was dialled, with success or without."""
-        for index, update in enumerate(self.config.known):
+        for index, update in enumerate(self.config.initial_updates):
             self.membership.apply(update, remembered=index == 0)
         self.changelog.start()
         dials = [pool.dialling for pool in self.pools.values() if pool.dialling is not None]
@@ -81,8 +81,8 @@
         self.calls.bounds = self.callers.bounds = config.bounds
         self.membership.config = self.config
         log.info("configuration taken", changelog=str(config.changelog), from_next_start=later)
-        for update in config.known:
-            if update.complete or update.seq == self.changelog.last + 1:
+        for update in config.initial_updates:
+            if update.is_complete or update.seq == self.changelog.last + 1:
                 self.changelog.learn(update)
         if config.changelog != old.changelog:
             self.changelog.move(config.changelog)
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -68,7 +68,11 @@
 
     def __init__(self, exchange: str, address: Address, handler: ExchangeHandler, config: Config) -> None:
         self.exchange, self.address, self.handler = exchange, address, handler
-        self.report_names, self.dial_ns, self.bounds = config.report_names, config.dial_ns, config.bounds
+        self.report_names, self.dial_ns, self.bounds = (
+            config.report_names,
+            config.dial_timeout_ns,
+            config.bounds,
+        )
         self.serving = True
         self.closed = False
         self.connections: list[ExchangeConnection] = []  # the open ones, the first opened first
--- a/arrowkeel/net/membership.py
+++ b/arrowkeel/net/membership.py
@@ -8,7 +8,7 @@
 import structlog
 
 from arrowkeel import interface as it
-from arrowkeel.net.config import Address, Config, Entry, ListUpdate
+from arrowkeel.net.config import Address, Config, ExchangeEntry, ListUpdate
 from arrowkeel.net.exchange_pool import ExchangeHandler, ExchangePool
 from arrowkeel.net.metrics import ReleaseReason
 
@@ -45,7 +45,7 @@
         """Take one event of the list; `remembered` where it is the list as it was before the start."""
         if update.entries is None:
             return
-        kind = it.ListKind.COMPLETE if update.complete else it.ListKind.CHANGES
+        kind = it.ListKind.COMPLETE if update.is_complete else it.ListKind.CHANGES
         if remembered:
             kind = it.ListKind.REMEMBERED
         if kind is not it.ListKind.CHANGES:
@@ -62,7 +62,7 @@
             )
         self.handler.exchanges_listed(it.ExchangeList(kind, tuple(entry.listed for entry in update.entries)))
 
-    def apply_entry(self, entry: Entry) -> None:
+    def apply_entry(self, entry: ExchangeEntry) -> None:
         exchange, address = entry.listed.exchange, entry.address
         if entry.listed.listing is it.Listing.GONE or address is None:
             self.remove(exchange)
