--- a/arrowkeel/net/changelog.py
+++ b/arrowkeel/net/changelog.py
@@ -30,8 +30,8 @@
 class ChangeLogConnection(asyncio.Protocol):
     """One connection to the change log. What still comes on one that was dropped is not taken."""
 
-    def __init__(self, follower: ChangeLog) -> None:
-        self.follower = follower
+    def __init__(self, client: ChangeLogClient) -> None:
+        self.client = client
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
         self.heard_at_ns = time.monotonic_ns()
@@ -44,7 +44,7 @@
             self.transport.abort()
             return
         self.heard_at_ns = time.monotonic_ns()
-        self.transport.write(f"since {self.follower.last}\n".encode())
+        self.transport.write(f"since {self.client.last_seq}\n".encode())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.drop()
@@ -52,7 +52,7 @@
     def drop(self) -> None:
         if not self.over.done():
             self.over.set_result(None)
-            self.follower.ended(self)
+            self.client.ended(self)
         if self.transport is not None:
             self.transport.abort()
 
@@ -60,23 +60,25 @@
         if self.over.done():
             return
         self.heard_at_ns = time.monotonic_ns()
-        self.follower.heard(self)
+        self.client.heard(self)
         self.buffer += data
         *lines, rest = bytes(self.buffer).split(b"\n")
         self.buffer = bytearray(rest)
         try:
-            if len(rest) > self.follower.line_limit:
+            if len(rest) > self.client.line_limit:
                 raise MalformedListUpdateError("line too long")
             for line in lines:
                 if line.strip():
-                    self.follower.take(line, self.is_first)
+                    self.client.take(line, self.is_first)
                     self.is_first = False
         except MalformedListUpdateError as error:
-            log.warning("malformed change-log line, reconnecting", reason=str(error), last=self.follower.last)
+            log.warning(
+                "malformed change-log line, reconnecting", reason=str(error), last=self.client.last_seq
+            )
             self.drop()
 
 
-class ChangeLog:
+class ChangeLogClient:
     """One follower; every connection asks for what came after the last number it has.
 
     One that falls silent is not dropped at once: where discovery is slow or crowded its answer may still
@@ -86,12 +88,12 @@
     def __init__(
         self,
         address: Address,
-        last: int,
+        last_seq: int,
         clock_offset: ClockOffset,
         tell: Callable[[ListUpdate], None],
         line_limit: int,
     ) -> None:
-        self.address, self.last, self.clock_offset, self.tell = address, last, clock_offset, tell
+        self.address, self.last_seq, self.clock_offset, self.tell = address, last_seq, clock_offset, tell
         self.line_limit = line_limit
         self.heard_at_ns = self.opened_at_ns = time.monotonic_ns()
         self.failures = 0  # connections that could not be made, ended or fell silent
@@ -111,7 +113,7 @@
         for connection in list(self.connections):
             connection.drop()
 
-    def move(self, address: Address) -> None:
+    def switch_address(self, address: Address) -> None:
         """Follow it at another address, from the last number on and at once."""
         self.stop()
         self.address = address
@@ -151,7 +153,7 @@
             log.warning("change log not reached", reason=reason, **self.facts())
             connection.drop()
             return False
-        log.info("change log connected", since=self.last, **self.facts())
+        log.info("change log connected", since=self.last_seq, **self.facts())
         self.opened_at_ns = time.monotonic_ns()
         return True
 
@@ -160,7 +162,7 @@
         while self.connections:
             left_ns = max(self.heard_at_ns, self.opened_at_ns) + SILENCE_NS - time.monotonic_ns()
             if left_ns <= 0:
-                log.warning("change log silent, asked again", last=self.last, **self.facts())
+                log.warning("change log silent, asked again", last=self.last_seq, **self.facts())
                 if len(self.connections) >= CONNECTIONS_MOST:
                     self.connections[0].drop()
                 return
@@ -186,14 +188,14 @@
         is_event = len(raw) > 1
         # Guards against a lost event: numbers come in order, and the last one told is one we have.
         # What a new connection starts with is all there is, so its first number may lie further on.
-        ahead = update.seq - self.last - (1 if is_event else 0)
+        ahead = update.seq - self.last_seq - (1 if is_event else 0)
         if ahead > 0 and not is_first:
-            raise MalformedListUpdateError(f"seq: {update.seq} after {self.last}")
+            raise MalformedListUpdateError(f"seq: {update.seq} after {self.last_seq}")
         if is_event:
-            self.learn(update)
+            self.apply_update(update)
 
-    def learn(self, update: ListUpdate) -> None:
+    def apply_update(self, update: ListUpdate) -> None:
         """An event from the log or from a new configuration; one that is known already tells nothing."""
-        if update.seq > self.last:
-            self.last = update.seq
+        if update.seq > self.last_seq:
+            self.last_seq = update.seq
             self.tell(update)
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -13,7 +13,7 @@
 from arrowkeel.net.caller_connections import CallerConnections
 from arrowkeel.net.callers import CallerConnection, Offer
 from arrowkeel.net.calls import CallRecord, CallTable
-from arrowkeel.net.changelog import ChangeLog
+from arrowkeel.net.changelog import ChangeLogClient
 from arrowkeel.net.codec import ReleaseCause
 from arrowkeel.net.config import MS, Config
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
@@ -40,7 +40,7 @@
         self.waiting_releases: dict[str, int] = {}  # of calls before our start, for the next exchange reached
         self.events: list[it.Event] = []
         self.turn_due = False
-        self.changelog = ChangeLog(
+        self.changelog = ChangeLogClient(
             config.changelog,
             config.last_seq,
             config.clock_offset,
@@ -82,10 +82,10 @@
         self.membership.config = self.config
         log.info("configuration taken", changelog=str(config.changelog), from_next_start=later)
         for update in config.initial_updates:
-            if update.is_complete or update.seq == self.changelog.last + 1:
-                self.changelog.learn(update)
+            if update.is_complete or update.seq == self.changelog.last_seq + 1:
+                self.changelog.apply_update(update)
         if config.changelog != old.changelog:
-            self.changelog.move(config.changelog)
+            self.changelog.switch_address(config.changelog)
 
     def answer_all(self) -> None:
         """The end is near: every open call gets its final answer, and nothing stays out for it."""
@@ -122,7 +122,7 @@
             "releases_waiting_for_exchanges": waiting,
             "caller_connections": len(self.callers.connections),
             "change_log_silence_ms": self.changelog.silent_ms(),
-            "change_log_last": self.changelog.last,
+            "change_log_last": self.changelog.last_seq,
             "change_log_failures": self.changelog.failures,
         }
 
