--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -44,7 +44,7 @@
             config.changelog,
             config.last_seq,
             config.clock_offset,
-            self.membership.apply,
+            self.membership.apply_update,
             config.bounds.max_change_log_line_bytes,
         )
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
@@ -59,7 +59,7 @@
     async def start(self) -> None:
         """Returns once each exchange was dialled, with success or without."""
         for index, update in enumerate(self.config.initial_updates):
-            self.membership.apply(update, remembered=index == 0)
+            self.membership.apply_update(update, is_remembered=index == 0)
         self.changelog.start()
         dials = [pool.dialling for pool in self.pools.values() if pool.dialling is not None]
         await asyncio.gather(*dials, return_exceptions=True)
@@ -100,7 +100,7 @@
     async def close(self, until_ns: int) -> None:
         self.changelog.stop()
         await self.callers.close(until_ns)
-        self.membership.shut()
+        self.membership.shut_down()
 
     def metrics_text(self) -> str:
         return self.metrics.text(self.gauges())
@@ -333,7 +333,7 @@
             self.tell(self.outcome(call, record, attempt, it.Ending.CALLED_OFF, over=True))
 
     def release_to_any_exchange(self, call: str, cause: int) -> None:
-        pool = self.membership.any_open()
+        pool = self.membership.first_open_pool()
         if pool is not None:
             pool.release(call, cause)
         elif len(self.waiting_releases) < self.config.bounds.max_table_entries:
@@ -428,10 +428,10 @@
     def exchange_died(self, pool: ExchangePool) -> None:
         self.process_gone(pool, time.monotonic_ns(), ReleaseReason.REFUSING)
 
-    def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None:
+    def process_gone(self, pool: ExchangePool, established_before_ns: int, reason: ReleaseReason) -> None:
         """A process that is gone has cut the calls that stood before, and may have told nobody."""
         standing = self.calls.standing_at(pool.exchange)
-        cut = [call for call in standing if self.calls.records[call].established_ns < before_ns]
+        cut = [call for call in standing if self.calls.records[call].established_ns < established_before_ns]
         self.cut(pool, cut, reason)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
@@ -456,5 +456,5 @@
         for call in calls:
             self.exchange_ended(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
-    def exchanges_listed(self, event: it.ExchangeList) -> None:
+    def exchange_list_changed(self, event: it.ExchangeList) -> None:
         self.tell(event)
--- a/arrowkeel/net/membership.py
+++ b/arrowkeel/net/membership.py
@@ -18,8 +18,8 @@
 class MembershipHandler(ExchangeHandler, Protocol):
     """What the controller does when the list of exchanges changes."""
 
-    def exchanges_listed(self, event: it.ExchangeList) -> None: ...
-    def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None: ...
+    def exchange_list_changed(self, event: it.ExchangeList) -> None: ...
+    def process_gone(self, pool: ExchangePool, established_before_ns: int, reason: ReleaseReason) -> None: ...
 
 
 class Membership:
@@ -34,19 +34,19 @@
         for pool in self.pools.values():
             pool.sweep(now_ns)
 
-    def any_open(self) -> ExchangePool | None:
+    def first_open_pool(self) -> ExchangePool | None:
         return next((pool for pool in self.pools.values() if pool.is_open), None)
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         for pool in self.pools.values():
             pool.shut()
 
-    def apply(self, update: ListUpdate, remembered: bool = False) -> None:
-        """Take one event of the list; `remembered` where it is the list as it was before the start."""
+    def apply_update(self, update: ListUpdate, is_remembered: bool = False) -> None:
+        """Take one event of the list; `is_remembered` where it is the list as it was before the start."""
         if update.entries is None:
             return
         kind = it.ListKind.COMPLETE if update.is_complete else it.ListKind.CHANGES
-        if remembered:
+        if is_remembered:
             kind = it.ListKind.REMEMBERED
         if kind is not it.ListKind.CHANGES:
             listed = {entry.listed.exchange for entry in update.entries}
@@ -60,7 +60,9 @@
                 exchange=entry.listed.exchange,
                 listing=entry.listed.listing.value,
             )
-        self.handler.exchanges_listed(it.ExchangeList(kind, tuple(entry.listed for entry in update.entries)))
+        self.handler.exchange_list_changed(
+            it.ExchangeList(kind, tuple(entry.listed for entry in update.entries))
+        )
 
     def apply_entry(self, entry: ExchangeEntry) -> None:
         exchange, address = entry.listed.exchange, entry.address
