--- a/arrowkeel/__main__.py
+++ b/arrowkeel/__main__.py
@@ -48,7 +48,7 @@
     await service.start()
     log.info("started", name=config.name, listen=service.listening, operator=service.operator_api.listening)
     await service.finished
-    await service.close()
+    await service.shut_down()
     log.info("stopped")
 
 
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -163,7 +163,7 @@
         else:
             self.loop.call_later(0.01, self.finish_if_due)
 
-    async def close(self) -> None:
+    async def shut_down(self) -> None:
         await self.controller.close(time.monotonic_ns() + FLUSH_NS)
         self.operator_api.close()
         await asyncio.sleep(0.005)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -165,7 +165,7 @@
         assert await reader.read() == b"" and time.monotonic_ns() >= service.stop_at_ns
         writer.close()
         await asyncio.wait_for(service.finished, PATIENCE_S)
-        await service.close()
+        await service.shut_down()
 
     asyncio.run(run())
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -362,7 +362,7 @@
         assert service.server.is_serving() and not service.finished.done()
         await asyncio.wait_for(service.finished, 20)
         assert not service.server.is_serving()
-        await service.close()
+        await service.shut_down()
 
     asyncio.run(run())
 
