--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -13,7 +13,7 @@
 from arrowkeel.net.caller_connections import CallerConnections
 from arrowkeel.net.callers import CallerConnection, Offer
 from arrowkeel.net.calls import CallRecord, CallTable
-from arrowkeel.net.changelog import ChangeLog
+from arrowkeel.net.changelog import ChangeLogClient
 from arrowkeel.net.codec import ReleaseCause
 from arrowkeel.net.config import MS, Config
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
@@ -40,12 +40,12 @@
         self.waiting_releases: dict[str, int] = {}  # of calls before our start, for the next exchange reached
         self.events: list[it.Event] = []
         self.turn_due = False
-        self.changelog = ChangeLog(
+        self.changelog = ChangeLogClient(
             config.changelog,
             config.last_seq,
-            config.clock,
-            self.membership.apply,
-            config.bounds.change_log_line,
+            config.clock_offset,
+            self.membership.apply_update,
+            config.bounds.max_change_log_line_bytes,
         )
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
         self.takes_calls = True  # what tests of a caller's connection are told
@@ -58,8 +58,8 @@
 
     async def start(self) -> None:
         """Returns once each exchange was dialled, with success or without."""
-        for index, update in enumerate(self.config.known):
-            self.membership.apply(update, remembered=index == 0)
+        for index, update in enumerate(self.config.initial_updates):
+            self.membership.apply_update(update, is_remembered=index == 0)
         self.changelog.start()
         dials = [pool.dial_task for pool in self.pools.values() if pool.dial_task is not None]
         await asyncio.gather(*dials, return_exceptions=True)
@@ -81,11 +81,11 @@
         self.calls.bounds = self.callers.bounds = config.bounds
         self.membership.config = self.config
         log.info("configuration taken", changelog=str(config.changelog), from_next_start=later)
-        for update in config.known:
-            if update.complete or update.seq == self.changelog.last + 1:
-                self.changelog.learn(update)
+        for update in config.initial_updates:
+            if update.is_complete or update.seq == self.changelog.last_seq + 1:
+                self.changelog.apply_update(update)
         if config.changelog != old.changelog:
-            self.changelog.move(config.changelog)
+            self.changelog.switch_address(config.changelog)
 
     def answer_all(self) -> None:
         """The end is near: every open call gets its final answer, and nothing stays out for it."""
@@ -100,7 +100,7 @@
     async def close(self, until_ns: int) -> None:
         self.changelog.stop()
         await self.callers.close(until_ns)
-        self.membership.shut()
+        self.membership.shut_down()
 
     def metrics_text(self) -> str:
         return self.metrics.text(self.gauges())
@@ -122,7 +122,7 @@
             "releases_waiting_for_exchanges": waiting,
             "caller_connections": len(self.callers.connections),
             "change_log_silence_ms": self.changelog.silent_ms(),
-            "change_log_last": self.changelog.last,
+            "change_log_last": self.changelog.last_seq,
             "change_log_failures": self.changelog.failures,
         }
 
@@ -333,10 +333,10 @@
             self.tell(self.outcome(call, record, attempt, it.Ending.CANCELLED, over=True))
 
     def release_to_any_exchange(self, call: str, cause: int) -> None:
-        pool = self.membership.any_open()
+        pool = self.membership.first_open_pool()
         if pool is not None:
             pool.release(call, cause)
-        elif len(self.waiting_releases) < self.config.bounds.records:
+        elif len(self.waiting_releases) < self.config.bounds.max_table_entries:
             self.waiting_releases[call] = cause
 
     # From exchanges
@@ -430,10 +430,10 @@
     def exchange_process_died(self, pool: ExchangePool) -> None:
         self.process_gone(pool, time.monotonic_ns(), ReleaseReason.REFUSING)
 
-    def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None:
+    def process_gone(self, pool: ExchangePool, established_before_ns: int, reason: ReleaseReason) -> None:
         """A process that is gone has cut the calls that stood before, and may have told nobody."""
         standing = self.calls.standing_at(pool.exchange)
-        cut = [call for call in standing if self.calls.records[call].established_ns < before_ns]
+        cut = [call for call in standing if self.calls.records[call].established_ns < established_before_ns]
         self.cut(pool, cut, reason)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
@@ -458,5 +458,5 @@
         for call in calls:
             self.released_by_exchange(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
-    def exchanges_listed(self, event: it.ExchangeList) -> None:
+    def exchange_list_changed(self, event: it.ExchangeList) -> None:
         self.tell(event)
