--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -6,8 +6,16 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from arrowkeel.net.codec import NO_CALL, Code, Kind, MalformedMessageError, Message, ReleaseCause, encode
-from arrowkeel.net.codec import whole_number as read_whole
+from arrowkeel.net.codec import (
+    NO_CALL_ID,
+    MalformedMessageError,
+    Message,
+    MessageType,
+    Parameter,
+    ReleaseCause,
+    encode,
+    parse_integer,
+)
 from arrowkeel.net.connection import MessageConnection, SentRelease, log
 
 MS = 1_000_000
@@ -55,35 +63,35 @@
 
 def read_offer(message: Message) -> Offer:
     """Guards the exchanges, which close on what they can't read whatever else is open there."""
-    if message.flaw:
-        raise MalformedMessageError(message.flaw)
-    if message.call == NO_CALL:
+    if message.parameter_error:
+        raise MalformedMessageError(message.parameter_error)
+    if message.call == NO_CALL_ID:
         raise MalformedMessageError("a set-up of no call")
-    figures = message.figures(Code.FIGURES)
+    figures = message.named_values(Parameter.ROUTING)
 
     def figure(name: str, default: int | None = None) -> int:
         if name not in figures and default is not None:
             return default
-        return read_whole(figures.get(name, ""), f"parameter {Code.FIGURES.value}: {name}")
+        return parse_integer(figures.get(name, ""), f"parameter {Parameter.ROUTING.value}: {name}")
 
     width = figure("width", 1)
     if width < 1:
-        raise MalformedMessageError(f"parameter {Code.FIGURES.value}: width: {width} circuits")
-    patience_ms = message.whole(Code.PATIENCE)
+        raise MalformedMessageError(f"parameter {Parameter.ROUTING.value}: width: {width} circuits")
+    patience_ms = message.integer(Parameter.PATIENCE)
     if patience_ms < 1:
-        raise MalformedMessageError(f"parameter {Code.PATIENCE.value}: {patience_ms} milliseconds")
-    number, description = message.text(Code.NUMBER), message.parameters.get(Code.DESCRIPTION, b"")
+        raise MalformedMessageError(f"parameter {Parameter.PATIENCE.value}: {patience_ms} milliseconds")
+    number, description = message.text(Parameter.NUMBER), message.parameters.get(Parameter.DESCRIPTION, b"")
     if not number or not description:
         raise MalformedMessageError("a set-up without number called or description")
     return Offer(
         call=message.call,
-        class_name=message.text(Code.CLASS),
+        class_name=message.text(Parameter.CLASS),
         number_called=number,
         destination=figure("dest"),
         width=width,
         via=figure("via", -1),
         patience_ms=min(patience_ms, MOST_PATIENCE_MS),
-        redial=message.text(Code.REDIAL, "0") == "1",
+        redial=message.text(Parameter.REDIAL, "0") == "1",
         transit=figure("transit", 0) == 1,
         was_cut=figure("again", 0) == 1,
         description=description,
@@ -115,21 +123,21 @@
         super().data_received(data)
 
     def take(self, message: Message) -> None:
-        match message.kind:
-            case Kind.SET_UP:
+        match message.type:
+            case MessageType.SET_UP:
                 self.take_set_up(message)
-            case _ if message.flaw:
-                raise MalformedMessageError(message.flaw)
-            case Kind.RELEASE:
+            case _ if message.parameter_error:
+                raise MalformedMessageError(message.parameter_error)
+            case MessageType.RELEASE:
                 self.handler.caller_ended(message.call, message.cause())
                 self.recognise()
-            case Kind.TEST:
+            case MessageType.TEST:
                 result = TEST_PASSED if self.handler.takes_calls else TEST_FAILED
-                self.write(encode(Kind.TEST_RESULT, message.call, {Code.CAUSE: result}))
-            case Kind.PROGRESS | Kind.RELEASE_HEARD:
+                self.write(encode(MessageType.TEST_RESULT, message.call, {Parameter.CAUSE: result}))
+            case MessageType.PROGRESS | MessageType.RELEASE_COMPLETE:
                 pass
             case _:
-                raise MalformedMessageError(f"type {message.kind} is nothing a caller sends")
+                raise MalformedMessageError(f"type {message.type} is nothing a caller sends")
 
     def take_set_up(self, message: Message) -> None:
         """One that can't be used is turned down by itself: the good calls of this connection go on."""
@@ -140,7 +148,7 @@
             if message.call in self.open_calls:
                 self.handler.caller_broke(self, message.call)
             else:
-                self.release(message.call, ReleaseCause.UNREADABLE)
+                self.release(message.call, ReleaseCause.INVALID_CONTENTS)
         else:
             if self.handler.offered(self, offer):
                 self.taken += 1
@@ -179,19 +187,19 @@
             self.spoilt("no set-up yet")
 
     def answer(self, call: str, description: bytes) -> bool:
-        return self.write(encode(Kind.ANSWER, call, {Code.DESCRIPTION: description}))
+        return self.write(encode(MessageType.ANSWER, call, {Parameter.DESCRIPTION: description}))
 
     def refuse(self, call: str, redial_after_ns: int) -> None:
-        parameters: dict[int, bytes | str] = {Code.CAUSE: bytes((ReleaseCause.CONGESTION,))}
+        parameters: dict[int, bytes | str] = {Parameter.CAUSE: bytes((ReleaseCause.CONGESTION,))}
         if redial_after_ns > 0:
-            parameters[Code.REDIAL_AFTER] = str(-(-redial_after_ns // MS))
-        self.write(encode(Kind.RELEASE, call, parameters))
+            parameters[Parameter.REDIAL_AFTER] = str(-(-redial_after_ns // MS))
+        self.write(encode(MessageType.RELEASE, call, parameters))
 
     def fail(self, call: str) -> None:
         self.release(call, ReleaseCause.TEMPORARY_FAILURE)
 
     def release(self, call: str, cause: int) -> bool:
-        return self.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))}))
+        return self.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))}))
 
     def release_standing(self, call: str, cause: int) -> bool:
         """Whether the release of a call that stood was written; it is held in case it goes unread."""
--- a/arrowkeel/net/codec.py
+++ b/arrowkeel/net/codec.py
@@ -15,26 +15,26 @@
 HEAD = struct.Struct(">HB8s")
 PARAMETER = struct.Struct(">BH")
 LENGTH_BYTES = 2
-NO_CALL = "0" * 16  # what is sent where no call is meant: it is the id of none
+NO_CALL_ID = "0" * 16  # what is sent where no call is meant: it is the id of none
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_COMPLETE = 16
     GROUP_STATE = 43
     TEST = 52
     TEST_RESULT = 53
 
 
-class Code(IntEnum):
+class Parameter(IntEnum):
     CLASS = 64
     PATIENCE = 66
     REDIAL = 70
     NUMBER = 72
-    FIGURES = 74
+    ROUTING = 74
     REDIAL_AFTER = 76
     NOTE = 78
     REPORT = 82
@@ -50,9 +50,9 @@
     TEMPORARY_FAILURE = 41
     CONGESTION = 42
     NO_CIRCUIT = 34
-    UNAVAILABLE = 47
-    NEVER_LEFT = 102
-    UNREADABLE = 100  # contents of a set-up that cannot be used
+    RESOURCE_UNAVAILABLE = 47
+    SET_UP_NOT_SENT = 102
+    INVALID_CONTENTS = 100  # contents of a set-up that cannot be used
 
 
 class MalformedMessageError(ValueError):
@@ -61,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    kind: int
+    type: int
     call: str
     parameters: Mapping[int, bytes] = field(default_factory=dict)
-    flaw: str = ""  # what cannot be read in a message whose length, type and call can
+    parameter_error: str = ""  # what cannot be read in a message whose length, type and call can
 
-    def text(self, code: Code, default: str | None = None) -> str:
+    def text(self, code: Parameter, default: str | None = None) -> str:
         value = self.parameters.get(code)
         if value is None:
             if default is None:
@@ -77,16 +77,16 @@
         except UnicodeDecodeError:
             raise MalformedMessageError(f"parameter {code.value}: not text") from None
 
-    def whole(self, code: Code) -> int:
-        return whole_number(self.text(code), f"parameter {code.value}")
+    def integer(self, code: Parameter) -> int:
+        return parse_integer(self.text(code), f"parameter {code.value}")
 
     def cause(self) -> int:
-        value = self.parameters.get(Code.CAUSE)
+        value = self.parameters.get(Parameter.CAUSE)
         if value is None or len(value) != 1:
-            raise MalformedMessageError(f"parameter {Code.CAUSE.value}: one byte is needed")
+            raise MalformedMessageError(f"parameter {Parameter.CAUSE.value}: one byte is needed")
         return value[0]
 
-    def figures(self, code: Code) -> dict[str, str]:
+    def named_values(self, code: Parameter) -> dict[str, str]:
         """The name:value pairs of a parameter, as in `dest:2;width:1`."""
         pairs: dict[str, str] = {}
         for part in filter(None, self.text(code, "").split(";")):
@@ -97,7 +97,7 @@
         return pairs
 
 
-def whole_number(value: str, where: str) -> int:
+def parse_integer(value: str, where: str) -> int:
     """A decimal whole number; digits only and few, so that no text is a number by accident."""
     digits = value.removeprefix("-")
     if not digits.isascii() or not digits.isdigit() or len(digits) > 18:
@@ -119,12 +119,12 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.whole = 0  # messages that the latest bytes made whole
+        self.completed_count = 0  # messages that the latest bytes made whole
 
     def feed(self, data: bytes) -> Iterator[Message]:
         """Every message that is whole by now; what came before a malformed one is yielded first."""
         self.buffer += data
-        self.whole = at = 0
+        self.completed_count = at = 0
         try:
             while len(self.buffer) - at >= LENGTH_BYTES:
                 end = at + LENGTH_BYTES + int.from_bytes(self.buffer[at : at + LENGTH_BYTES], "big")
@@ -133,14 +133,14 @@
                     raise MalformedMessageError(f"message of {end - at} bytes")
                 if len(self.buffer) < end:
                     break
-                message = read_message(bytes(self.buffer[at:end]))
-                at, self.whole = end, self.whole + 1
+                message = parse_message(bytes(self.buffer[at:end]))
+                at, self.completed_count = end, self.completed_count + 1
                 yield message
         finally:
             del self.buffer[:at]
 
 
-def read_message(raw: bytes) -> Message:
+def parse_message(raw: bytes) -> Message:
     _, kind, call = HEAD.unpack_from(raw)
     parameters: dict[int, bytes] = {}
     at = HEAD.size
--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -94,7 +94,7 @@
             self.spoilt(str(error))
         if not self.decoder.buffer:
             self.half_since_ns = 0
-        elif self.decoder.whole or not self.half_since_ns:
+        elif self.decoder.completed_count or not self.half_since_ns:
             self.half_since_ns = time.monotonic_ns()
 
     def spoilt(self, reason: str) -> None:
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -274,7 +274,7 @@
             return False
         if call in self.calls:
             # The call of that id goes on, on its own connection.
-            connection.release(call, ReleaseCause.UNREADABLE)
+            connection.release(call, ReleaseCause.INVALID_CONTENTS)
             return False
         reason = self.refusal_reason(offer)
         if reason is not None:
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -11,7 +11,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel import wire
-from arrowkeel.net.codec import Code, Kind, MalformedMessageError, Message, ReleaseCause, encode
+from arrowkeel.net.codec import MalformedMessageError, Message, MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import MS
 from arrowkeel.net.connection import MessageConnection, SentRelease
 from arrowkeel.net.metrics import ConnectionLoss
@@ -22,10 +22,10 @@
 MUTE_NS = 250 * MS
 ENDINGS: dict[int, it.Ending] = {
     ReleaseCause.NO_CIRCUIT: it.Ending.TURNED_AWAY,
-    ReleaseCause.NEVER_LEFT: it.Ending.NOT_SENT,
+    ReleaseCause.SET_UP_NOT_SENT: it.Ending.NOT_SENT,
     ReleaseCause.TEMPORARY_FAILURE: it.Ending.CUT,
     ReleaseCause.USER_BUSY: it.Ending.NUMBER_BUSY,
-    ReleaseCause.UNAVAILABLE: it.Ending.NUMBER_BUSY,
+    ReleaseCause.RESOURCE_UNAVAILABLE: it.Ending.NUMBER_BUSY,
 }
 # The codes that the simulator's wire has for these notes, so that `wire` alone says what they mean.
 NOTES = {"group_full": 1, "tandem_refused": 2, "processor_full": 3, "user_busy": 4, "destination_full": 18}
@@ -101,38 +101,38 @@
         self.set_ups.add(request.call)
         self.asked_ns = self.asked_ns or now_ns
         parameters: dict[int, bytes | str] = {
-            Code.CLASS: request.class_name,
-            Code.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
-            Code.NUMBER: request.number_called,
-            Code.DESCRIPTION: request.description,
+            Parameter.CLASS: request.class_name,
+            Parameter.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
+            Parameter.NUMBER: request.number_called,
+            Parameter.DESCRIPTION: request.description,
         }
-        return self.write(encode(Kind.SET_UP, request.call, parameters))
+        return self.write(encode(MessageType.SET_UP, request.call, parameters))
 
     def release(self, call: str, cause: int, most_held: int) -> bool:
         """Whether the release was written; up to `most_held` are held while they can still be lost."""
-        if not self.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))})):
+        if not self.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))})):
             return False
         if len(self.releases) < most_held:
             self.releases[call] = SentRelease(cause, time.monotonic_ns())
         return True
 
     def take(self, message: Message) -> None:
-        if message.flaw:
-            raise MalformedMessageError(message.flaw)
+        if message.parameter_error:
+            raise MalformedMessageError(message.parameter_error)
         self.hear()
-        match message.kind:
-            case Kind.ANSWER:
+        match message.type:
+            case MessageType.ANSWER:
                 self.take_answer(message)
-            case Kind.RELEASE:
+            case MessageType.RELEASE:
                 self.take_release(message)
-            case Kind.GROUP_STATE:
+            case MessageType.GROUP_STATE:
                 report = self.report(message)
-                self.state = message.parameters.get(Code.REPORT, b"")
+                self.state = message.parameters.get(Parameter.REPORT, b"")
                 self.events.state_told(self, report)
-            case Kind.PROGRESS | Kind.RELEASE_HEARD | Kind.TEST_RESULT:
+            case MessageType.PROGRESS | MessageType.RELEASE_COMPLETE | MessageType.TEST_RESULT:
                 pass
             case _:
-                raise MalformedMessageError(f"type {message.kind} is nothing an exchange sends")
+                raise MalformedMessageError(f"type {message.type} is nothing an exchange sends")
 
     def hear(self) -> None:
         """Something was read: the connection is not mute, and what was written a while ago has arrived."""
@@ -148,15 +148,15 @@
         """An answer that crossed our give-up is of no call any more: the give-up releases it there."""
         if message.call not in self.set_ups:
             return
-        description = message.parameters.get(Code.DESCRIPTION)
+        description = message.parameters.get(Parameter.DESCRIPTION)
         if description is None:
-            raise MalformedMessageError(f"parameter {Code.DESCRIPTION.value}: missing")
+            raise MalformedMessageError(f"parameter {Parameter.DESCRIPTION.value}: missing")
         self.set_ups.discard(message.call)
         self.events.answered(self, message.call, description)
 
     def take_release(self, message: Message) -> None:
         cause, report = message.cause(), self.report(message)
-        note = NOTES.get(message.text(Code.NOTE, ""), 0)
+        note = NOTES.get(message.text(Parameter.NOTE, ""), 0)
         if message.call not in self.set_ups:
             self.events.released(self, message.call, cause, report)
             return
@@ -170,7 +170,7 @@
         self.events.attempt_ended(message.call, ending, *wire.read_cause(note), report)
 
     def report(self, message: Message) -> it.Report | None:
-        figures = message.figures(Code.REPORT)
+        figures = message.named_values(Parameter.REPORT)
         if not figures:
             return None
         names = self.events.report_names
@@ -178,4 +178,4 @@
         try:
             return wire.read_report({"load": row}, names)
         except (wire.MalformedError, ValueError) as error:
-            raise MalformedMessageError(f"parameter {Code.REPORT.value}: {error}") from None
+            raise MalformedMessageError(f"parameter {Parameter.REPORT.value}: {error}") from None
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -16,13 +16,13 @@
 from pathlib import Path
 from typing import Any
 
-from arrowkeel.net.codec import Code, Decoder, Kind, Message, encode
+from arrowkeel.net.codec import Decoder, Message, MessageType, Parameter, encode
 from arrowkeel.net.config import Clock, Config, read_config
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
 
 PATIENCE_S = 20.0  # only a failing test waits so long
 CALL, OTHER = "00000000000000a1", "00000000000000b2"
-STATE = {Code.REPORT: "idle:40;circuits:60;max_rate:-1"}
+STATE = {Parameter.REPORT: "idle:40;circuits:60;max_rate:-1"}
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -54,8 +54,8 @@
         self.socket.sendall(encode(kind, call, parameters))
 
     def release(self, call: str, cause: int, **parameters: str) -> None:
-        extra = {Code[name.upper()]: value for name, value in parameters.items()}
-        self.send(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,)), **extra})
+        extra = {Parameter[name.upper()]: value for name, value in parameters.items()}
+        self.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,)), **extra})
 
     def set_up(
         self,
@@ -63,17 +63,19 @@
         dest: int = 1,
         patience_ms: int = 60_000,
         kind: str = "voice",
-        changes: dict[Code, bytes | str | None] | None = None,
+        changes: dict[Parameter, bytes | str | None] | None = None,
     ) -> None:
-        parameters: dict[Code, bytes | str | None] = {
-            Code.CLASS: kind,
-            Code.PATIENCE: str(patience_ms),
-            Code.NUMBER: "7f3a9c21e0b4d655",
-            Code.FIGURES: f"dest:{dest};width:1;via:-1",
-            Code.DESCRIPTION: b"offer \x00\xff",
+        parameters: dict[Parameter, bytes | str | None] = {
+            Parameter.CLASS: kind,
+            Parameter.PATIENCE: str(patience_ms),
+            Parameter.NUMBER: "7f3a9c21e0b4d655",
+            Parameter.ROUTING: f"dest:{dest};width:1;via:-1",
+            Parameter.DESCRIPTION: b"offer \x00\xff",
             **(changes or {}),
         }
-        self.send(Kind.SET_UP, call, {code: value for code, value in parameters.items() if value is not None})
+        self.send(
+            MessageType.SET_UP, call, {code: value for code, value in parameters.items() if value is not None}
+        )
 
     def receive(self) -> Message | None:
         """The next message, or None once the other side has closed."""
@@ -89,13 +91,13 @@
 
     def expect(self, kind: int, call: str = CALL) -> Message:
         message = self.receive()
-        assert message is not None and (message.kind, message.call) == (kind, call), message
+        assert message is not None and (message.type, message.call) == (kind, call), message
         return message
 
     def tested(self) -> None:
         """All that was sent before on this connection has been taken once this returns."""
-        self.send(Kind.TEST, OTHER, {Code.CAUSE: b"\x00"})
-        self.expect(Kind.TEST_RESULT, OTHER)
+        self.send(MessageType.TEST, OTHER, {Parameter.CAUSE: b"\x00"})
+        self.expect(MessageType.TEST_RESULT, OTHER)
 
     def reset(self) -> None:
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -144,11 +146,11 @@
         for line in lines:
             if line is not self.mute:
                 with suppress(OSError):
-                    line.send(Kind.GROUP_STATE, "0" * 16, self.state)
+                    line.send(MessageType.GROUP_STATE, "0" * 16, self.state)
 
     def read(self, line: Peer) -> None:
         while (message := line.receive()) is not None:
-            if message.kind == Kind.SET_UP:
+            if message.type == MessageType.SET_UP:
                 self.tell(*self.lines)
             self.came.put((line, message))
         self.lines.remove(line)
@@ -157,7 +159,7 @@
 
     def expect(self, kind: int, call: str = CALL) -> Message:
         line, message = self.came.get(timeout=PATIENCE_S)
-        assert (message.kind, message.call) == (kind, call), message
+        assert (message.type, message.call) == (kind, call), message
         self.line_of[call] = line
         return message
 
@@ -167,7 +169,7 @@
         (line if line in self.lines and line is not None else self.lines[0]).send(kind, call, parameters)
 
     def release(self, call: str, cause: int) -> None:
-        self.send(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))})
+        self.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))})
 
     def drop(self, *lines: Peer, reset: bool) -> None:
         """End connections; the thread that reads closes them once it is told."""
@@ -290,9 +292,9 @@
     def standing(self, caller: Peer, call: str = CALL) -> None:
         """A call offered by that caller and answered by the exchange."""
         caller.set_up(call)
-        self.exchange.expect(Kind.SET_UP, call)
-        self.exchange.send(Kind.ANSWER, call, {Code.DESCRIPTION: b"answer \x01"})
-        assert caller.expect(Kind.ANSWER, call).parameters == {Code.DESCRIPTION: b"answer \x01"}
+        self.exchange.expect(MessageType.SET_UP, call)
+        self.exchange.send(MessageType.ANSWER, call, {Parameter.DESCRIPTION: b"answer \x01"})
+        assert caller.expect(MessageType.ANSWER, call).parameters == {Parameter.DESCRIPTION: b"answer \x01"}
 
 
 @contextmanager
--- a/tests/standins/callers.py
+++ b/tests/standins/callers.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import Any, cast
 
-from arrowkeel.net.codec import Code, Decoder, Kind, Message, ReleaseCause, encode
+from arrowkeel.net.codec import Decoder, Message, MessageType, Parameter, ReleaseCause, encode
 from tests.standins.fault_proxy import RESET
 from tests.standins.ledger import Ledger
 
 CROSSING_S = 0.05  # a set-up that crosses a close goes again, once
 CONNECTIONS = 4  # that usual callers hold open
 PATIENCE_S = (0.3, 3.0)
-REFUSALS = (ReleaseCause.NO_CIRCUIT, ReleaseCause.CONGESTION, ReleaseCause.NEVER_LEFT)
+REFUSALS = (ReleaseCause.NO_CIRCUIT, ReleaseCause.CONGESTION, ReleaseCause.SET_UP_NOT_SENT)
 GARBAGE = (
     b"\x00\x03abc",
     b"\xff\xff" + b"\x00" * 64,
@@ -120,14 +120,14 @@
         call = self.random.randbytes(8).hex()
         patience = self.random.uniform(*PATIENCE_S)
         message = encode(
-            Kind.SET_UP,
+            MessageType.SET_UP,
             call,
             {
-                Code.CLASS: self.random.choice(["voice", "data"]),
-                Code.PATIENCE: str(int(patience * 1000)),
-                Code.NUMBER: self.random.randbytes(8).hex(),
-                Code.FIGURES: f"dest:{self.random.choice(self.destinations)};width:1;via:-1",
-                Code.DESCRIPTION: self.random.randbytes(self.random.randrange(1, 300)),
+                Parameter.CLASS: self.random.choice(["voice", "data"]),
+                Parameter.PATIENCE: str(int(patience * 1000)),
+                Parameter.NUMBER: self.random.randbytes(8).hex(),
+                Parameter.ROUTING: f"dest:{self.random.choice(self.destinations)};width:1;via:-1",
+                Parameter.DESCRIPTION: self.random.randbytes(self.random.randrange(1, 300)),
             },
         )
 
@@ -188,7 +188,7 @@
         elif call in side.sent and side.is_open:
             del side.sent[call]
             self.void(call)
-            side.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((ReleaseCause.NORMAL,))}))
+            side.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((ReleaseCause.NORMAL,))}))
 
     def void(self, call: str) -> None:
         self.counts["void"] += 1
@@ -198,17 +198,17 @@
         call = message.call
         if call not in self.ledger.calls:
             return
-        if message.kind == Kind.ANSWER:
+        if message.type == MessageType.ANSWER:
             side.sent.pop(call, None)
             self.counts["answered"] += 1
-            self.ledger.answered(call, self.now, message.parameters[Code.DESCRIPTION])
+            self.ledger.answered(call, self.now, message.parameters[Parameter.DESCRIPTION])
             self.standing[call] = None
             if self.random.random() < 0.2:
                 self.loop.call_later(self.random.uniform(0, 2.0), self.hang_up, call)
-        elif message.kind == Kind.RELEASE and call in self.standing:
+        elif message.type == MessageType.RELEASE and call in self.standing:
             del self.standing[call]
             self.ledger.released_to_caller(call, self.now)
-        elif message.kind == Kind.RELEASE and call in side.sent:
+        elif message.type == MessageType.RELEASE and call in side.sent:
             del side.sent[call]
             kind = "refused" if message.cause() in REFUSALS else "failed"
             self.counts[kind] += 1
@@ -219,7 +219,7 @@
         if call in self.standing and side is not None:
             del self.standing[call]
             self.ledger.calls[call].released = self.now
-            side.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((ReleaseCause.NORMAL,))}))
+            side.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((ReleaseCause.NORMAL,))}))
 
     def lost(self, side: CallerSide) -> None:
         """What crossed the close goes again, once; anything else that was open is lost."""
--- a/tests/standins/exchange.py
+++ b/tests/standins/exchange.py
@@ -12,7 +12,15 @@
 from random import Random
 from typing import Any, cast
 
-from arrowkeel.net.codec import Code, Decoder, Kind, MalformedMessageError, Message, ReleaseCause, encode
+from arrowkeel.net.codec import (
+    Decoder,
+    MalformedMessageError,
+    Message,
+    MessageType,
+    Parameter,
+    ReleaseCause,
+    encode,
+)
 from tests.standins.fault_proxy import RESET, FaultProxy
 from tests.standins.ledger import Attempt, Ledger
 
@@ -136,7 +144,7 @@
         self.tell_state(connection)
         untold, self.untold = self.untold, {}
         for call, cause in untold.items():
-            connection.send(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))})
+            connection.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))})
 
     def lost(self, connection: ExchangeSide) -> None:
         if connection in self.connections:
@@ -148,9 +156,9 @@
     def take(self, connection: ExchangeSide, message: Message) -> None:
         if self.is_hung:
             self.waiting.append((connection, message))
-        elif message.kind == Kind.SET_UP:
+        elif message.type == MessageType.SET_UP:
             self.set_up(connection, message)
-        elif message.kind == Kind.RELEASE:
+        elif message.type == MessageType.RELEASE:
             self.released(message.call)
 
     def set_up(self, connection: ExchangeSide, message: Message) -> None:
@@ -172,16 +180,16 @@
             return
         outcome = self.random.random()
         if outcome < REFUSED:
-            self.refuse(call, ReleaseCause.NO_CIRCUIT, {Code.NOTE: "group_full"})
+            self.refuse(call, ReleaseCause.NO_CIRCUIT, {Parameter.NOTE: "group_full"})
         elif outcome < FAILED:
-            self.refuse(call, ReleaseCause.UNAVAILABLE, {})
+            self.refuse(call, ReleaseCause.RESOURCE_UNAVAILABLE, {})
         elif outcome >= SILENT:
             self.answer(call, held)
 
     def refuse(self, call: str, cause: int, parameters: dict[Any, Any]) -> None:
         held = self.held[call]
         self.end_attempt(call, is_clear=True)
-        held.connection.send(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,)), **parameters})
+        held.connection.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,)), **parameters})
         self.tell_state()
 
     def answer(self, call: str, held: Held) -> None:
@@ -190,14 +198,14 @@
             self.spoil(call, held, description)
             return
         self.stand(call, held, description)
-        held.connection.send(Kind.ANSWER, call, {Code.DESCRIPTION: description})
+        held.connection.send(MessageType.ANSWER, call, {Parameter.DESCRIPTION: description})
         if self.spoils and self.random.random() < 0.2:  # a second copy, and an answer of no call
             for copy in (call, "f" * 16):
-                held.connection.send(Kind.ANSWER, copy, {Code.DESCRIPTION: description})
+                held.connection.send(MessageType.ANSWER, copy, {Parameter.DESCRIPTION: description})
 
     def spoil(self, call: str, held: Held, description: bytes) -> None:
         """The call has run, and its answer can't be read, or breaks off."""
-        message = encode(Kind.ANSWER, call, {Code.DESCRIPTION: description})
+        message = encode(MessageType.ANSWER, call, {Parameter.DESCRIPTION: description})
         transport = held.connection.transport
         assert transport is not None
         self.stand(call, held, description)
@@ -228,7 +236,7 @@
         del self.held[call]
         target = next((each for each in (held.connection, *self.connections) if each.is_live), None)
         if target is not None:
-            target.send(Kind.RELEASE, call, {Code.CAUSE: bytes((ReleaseCause.NORMAL,))})
+            target.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((ReleaseCause.NORMAL,))})
         self.untold[call] = ReleaseCause.NORMAL
         self.ledger.over(call, self.now, was_told=target is not None and self.is_reachable)
         self.told_at[call] = self.now
@@ -255,10 +263,10 @@
     def tell_state(self, *connections: ExchangeSide) -> None:
         if self.is_hung:
             return
-        state = {Code.REPORT: f"idle:{GROUP_SIZE - len(self.held)};circuits:{GROUP_SIZE};max_rate:200"}
+        state = {Parameter.REPORT: f"idle:{GROUP_SIZE - len(self.held)};circuits:{GROUP_SIZE};max_rate:200"}
         for connection in connections or self.connections:
             if connection.is_live:
-                connection.send(Kind.GROUP_STATE, "0" * 16, state)
+                connection.send(MessageType.GROUP_STATE, "0" * 16, state)
 
     # Failures
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -12,7 +12,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel.net import exchange_pool
-from arrowkeel.net.codec import Code, Kind
+from arrowkeel.net.codec import MessageType, Parameter
 from arrowkeel.net.config import Address
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT, ExchangePool
@@ -98,7 +98,7 @@
         assert await events.told.get() == ("connected",)
         pool.release(OTHER, 16)
         first = await asyncio.to_thread(peer.receive)
-        assert first is not None and (first.kind, first.call) == (Kind.RELEASE, OTHER)
+        assert first is not None and (first.type, first.call) == (MessageType.RELEASE, OTHER)
 
     play(far.address, story)
 
@@ -141,7 +141,7 @@
         pool.dial()
         lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
         for line in lines:
-            line.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
+            line.send(MessageType.GROUP_STATE, "0" * 16, {Parameter.REPORT: "idle:7;circuits:60"})
             line.release(OTHER, 16)
         told: list[tuple[Any, ...]] = []
         while told.count(("released", OTHER, 16)) < len(lines):
@@ -176,10 +176,10 @@
         await swept(pool, lambda: first not in pool.connections)
         pool.release("f" * 16, 16)
         came: list[tuple[int, str]] = []
-        while not came or came[-1] != (Kind.RELEASE, "f" * 16):
+        while not came or came[-1] != (MessageType.RELEASE, "f" * 16):
             _, message = await asyncio.to_thread(far.came.get, timeout=20)
-            came.append((message.kind, message.call))
-        assert came.count((Kind.RELEASE, CALL)) == 1 and (Kind.RELEASE, third) in came
+            came.append((message.type, message.call))
+        assert came.count((MessageType.RELEASE, CALL)) == 1 and (MessageType.RELEASE, third) in came
 
     play(far.address, story)
 
@@ -220,11 +220,11 @@
         events.attempt_ended = lambda *told: (ended.append(told), events.told.put_nowait(("end",)))  # type: ignore
         pool.set_up(order(CALL))
         peer = await accepted(far)
-        await asyncio.to_thread(peer.expect, Kind.SET_UP)
+        await asyncio.to_thread(peer.expect, MessageType.SET_UP)
         peer.send(
-            Kind.RELEASE,
+            MessageType.RELEASE,
             CALL,
-            {Code.CAUSE: bytes((cause,)), Code.NOTE: note, Code.REPORT: "idle:3;circuits:9"},
+            {Parameter.CAUSE: bytes((cause,)), Parameter.NOTE: note, Parameter.REPORT: "idle:3;circuits:9"},
         )
         while await events.told.get() != ("end",):
             pass
@@ -240,9 +240,9 @@
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.set_up(order(CALL))
         peer = await accepted(far)
-        await asyncio.to_thread(peer.expect, Kind.SET_UP)
+        await asyncio.to_thread(peer.expect, MessageType.SET_UP)
         peer.release(CALL, 16)
-        peer.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
+        peer.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
         told = [await events.told.get()]
         while told[-1][0] not in ("ended", "stood"):
             told.append(await events.told.get())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
+from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import Clock, read_config
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
 from arrowkeel.net.service import Service
@@ -36,8 +36,8 @@
 
 
 def ready(caller: Peer) -> bytes:
-    caller.send(Kind.TEST, OTHER, {Code.CAUSE: b"\x00"})
-    return caller.expect(Kind.TEST_RESULT, OTHER).parameters[Code.CAUSE]
+    caller.send(MessageType.TEST, OTHER, {Parameter.CAUSE: b"\x00"})
+    return caller.expect(MessageType.TEST_RESULT, OTHER).parameters[Parameter.CAUSE]
 
 
 def test_operators_are_answered_beside_those_who_say_nothing_or_half_a_call(program: Program) -> None:
@@ -56,9 +56,9 @@
     caller = program.caller()
     program.standing(caller)
     caller.set_up(OTHER, dest=9)
-    caller.expect(Kind.RELEASE, OTHER)
+    caller.expect(MessageType.RELEASE, OTHER)
     caller.set_up(THIRD)
-    program.exchange.expect(Kind.SET_UP, THIRD)
+    program.exchange.expect(MessageType.SET_UP, THIRD)
     lines = program.ask("GET", "/status/metrics")[1].splitlines()
     counters = {
         name: int(value) for name, value in (line[:-2].split(":") for line in lines if line[-1] == "c")
@@ -90,18 +90,18 @@
     busy, idle = program.caller(), program.caller()
     program.standing(busy, THIRD)
     busy.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     idle.tested()
     assert program.ask("POST", "/standby")[0] == 200 and program.ask("GET", "/status")[0] == 503
     assert idle.receive() is None
     assert ready(busy) == b"\x00"
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    busy.expect(Kind.ANSWER)
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    busy.expect(MessageType.ANSWER)
     later = time.monotonic() + 1.0
     while time.monotonic() < later:  # the last one that speaks of calls stays, to be told what is over
         assert ready(busy) == b"\x00"
     program.exchange.release(THIRD, 16)
-    busy.expect(Kind.RELEASE, THIRD)
+    busy.expect(MessageType.RELEASE, THIRD)
     assert busy.receive() is None
     assert program.ask("POST", "/active")[0] == 200 and program.ask("GET", "/status")[0] == 200
     back = program.caller()
@@ -114,15 +114,15 @@
     program.standing(caller)
     program.standing(other, THIRD)
     program.exchange.release(THIRD, 16)
-    other.expect(Kind.RELEASE, THIRD)
+    other.expect(MessageType.RELEASE, THIRD)
     assert program.ask("POST", "/standby")[0] == 200
     assert other.receive() is None, "nothing is left on it"
     time.sleep(4.2)
     caller.set_up(OTHER)
-    refusal = caller.expect(Kind.RELEASE, OTHER)
-    assert refusal.cause() == ReleaseCause.CONGESTION and refusal.whole(Code.REDIAL_AFTER) == 2000
+    refusal = caller.expect(MessageType.RELEASE, OTHER)
+    assert refusal.cause() == ReleaseCause.CONGESTION and refusal.integer(Parameter.REDIAL_AFTER) == 2000
     program.exchange.release(CALL, 16)
-    caller.expect(Kind.RELEASE)
+    caller.expect(MessageType.RELEASE)
     assert caller.receive() is None
     program.exchange.release(CALL, 16)  # told again: nothing waits for the next caller
     assert program.ask("POST", "/active")[0] == 200
@@ -142,8 +142,8 @@
     assert ready(fronts[1]) == b"\x00"
     back = program.caller()
     back.set_up(OTHER)
-    back.expect(Kind.RELEASE, OTHER)  # so long after it was asked, standby turns calls away
-    assert back.expect(Kind.RELEASE).cause() == 16
+    back.expect(MessageType.RELEASE, OTHER)  # so long after it was asked, standby turns calls away
+    assert back.expect(MessageType.RELEASE).cause() == 16
 
 
 def test_what_ends_while_a_process_gives_way_is_still_told(tmp_path: Path) -> None:
@@ -156,7 +156,7 @@
         service = Service(config)
         await service.start()
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(encode(Kind.RELEASE, CALL, {Code.CAUSE: b"\x10"}))
+        writer.write(encode(MessageType.RELEASE, CALL, {Parameter.CAUSE: b"\x10"}))
         while not any(line.has_carried_calls for line in service.controller.callers.connections):
             await asyncio.sleep(0.01)
         service.stop()
@@ -184,20 +184,20 @@
     try:
         caller, idle = program.caller(), program.caller()
         caller.set_up()
-        program.exchange.expect(Kind.SET_UP)
+        program.exchange.expect(MessageType.SET_UP)
         idle.tested()
         program.start()
         first.terminate()
         assert idle.receive() is None
-        program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-        caller.expect(Kind.ANSWER)
+        program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+        caller.expect(MessageType.ANSWER)
         assert caller.receive() is None and first.wait(PATIENCE_S) == 0
         after = program.caller()
         program.standing(after, OTHER)
         for _ in range(CONNECTIONS_KEPT):
             program.exchange.ended.get(timeout=PATIENCE_S)
         program.exchange.release(CALL, 16)  # of a call that stood before this process began
-        assert after.expect(Kind.RELEASE).cause() == 16
+        assert after.expect(MessageType.RELEASE).cause() == 16
     finally:
         for process in (first, program.process):
             process.kill()
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
+from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
 from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
 
 TAKEN_S = 0.7  # set-ups that come so soon after SIGTERM are taken as before
@@ -32,15 +32,15 @@
 def test_set_ups_that_come_late_are_refused_at_once_with_advice(program: Program) -> None:
     caller = program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     began = terminate(program)
     while time.monotonic() < began + TAKEN_S + 0.1:
         time.sleep(0.05)
     caller.set_up(OTHER)
-    refusal = caller.expect(Kind.RELEASE, OTHER)
-    assert refusal.cause() == ReleaseCause.CONGESTION and refusal.whole(Code.REDIAL_AFTER) == 2000
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER)
+    refusal = caller.expect(MessageType.RELEASE, OTHER)
+    assert refusal.cause() == ReleaseCause.CONGESTION and refusal.integer(Parameter.REDIAL_AFTER) == 2000
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER)
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
     assert time.monotonic() - began < KILL_S
 
@@ -48,10 +48,10 @@
 def test_a_call_that_hangs_has_its_answer_before_the_kill_may_come(program: Program) -> None:
     caller = program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     began = terminate(program)
-    assert caller.expect(Kind.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
-    assert program.exchange.expect(Kind.RELEASE).cause() == ReleaseCause.NORMAL
+    assert caller.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
+    assert program.exchange.expect(MessageType.RELEASE).cause() == ReleaseCause.NORMAL
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
     assert time.monotonic() - began < KILL_S
 
@@ -71,21 +71,21 @@
     caller = program.caller()
     program.standing(caller)
     message = encode(
-        Kind.SET_UP,
+        MessageType.SET_UP,
         OTHER,
         {
-            Code.CLASS: "voice",
-            Code.PATIENCE: "60000",
-            Code.NUMBER: "7f3a9c21e0b4d655",
-            Code.FIGURES: "dest:1",
-            Code.DESCRIPTION: b"offer",
+            Parameter.CLASS: "voice",
+            Parameter.PATIENCE: "60000",
+            Parameter.NUMBER: "7f3a9c21e0b4d655",
+            Parameter.ROUTING: "dest:1",
+            Parameter.DESCRIPTION: b"offer",
         },
     )
     began = terminate(program)
     for at in range(0, len(message), 20):
         caller.socket.sendall(message[at : at + 20])
         time.sleep(1.5 * 20 / len(message))
-    assert caller.expect(Kind.RELEASE, OTHER).cause() == ReleaseCause.CONGESTION
+    assert caller.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.CONGESTION
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
     assert time.monotonic() - began < KILL_S
 
@@ -104,12 +104,12 @@
         first.socket.close()
     program.exchange.release(CALL, ReleaseCause.NORMAL)
     program.process.send_signal(signal.SIGCONT)
-    assert second.expect(Kind.RELEASE).cause() == ReleaseCause.NORMAL
+    assert second.expect(MessageType.RELEASE).cause() == ReleaseCause.NORMAL
     assert not further(second), "it is told once there"
 
 
 def further(caller: Peer) -> bool:
     """Whether more than the answer to a test comes on this connection."""
-    caller.send(Kind.TEST, OTHER, {Code.CAUSE: b"\x00"})
+    caller.send(MessageType.TEST, OTHER, {Parameter.CAUSE: b"\x00"})
     message = caller.receive()
-    return message is None or message.kind != Kind.TEST_RESULT
+    return message is None or message.type != MessageType.TEST_RESULT
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -12,7 +12,7 @@
 import pytest
 
 from arrowkeel.net.callers import BAD_SET_UPS_LIMIT
-from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
+from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import Clock, read_config
 from arrowkeel.net.service import Service
 from tests.peers import CALL, OTHER, SETTINGS, Exchange, Listener, Peer, Program, event, instance, running
@@ -27,13 +27,16 @@
 def test_a_call_stands_and_ends_and_what_it_carries_is_unchanged(program: Program) -> None:
     caller = program.caller()
     caller.set_up(patience_ms=60_000)
-    sent = program.exchange.expect(Kind.SET_UP)
-    assert (sent.text(Code.CLASS), sent.text(Code.NUMBER)) == ("voice", "7f3a9c21e0b4d655")
-    assert sent.parameters[Code.DESCRIPTION] == b"offer \x00\xff" and 0 < sent.whole(Code.PATIENCE) <= 60_000
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    assert caller.expect(Kind.ANSWER).parameters == {Code.DESCRIPTION: b"answer"}
+    sent = program.exchange.expect(MessageType.SET_UP)
+    assert (sent.text(Parameter.CLASS), sent.text(Parameter.NUMBER)) == ("voice", "7f3a9c21e0b4d655")
+    assert (
+        sent.parameters[Parameter.DESCRIPTION] == b"offer \x00\xff"
+        and 0 < sent.integer(Parameter.PATIENCE) <= 60_000
+    )
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    assert caller.expect(MessageType.ANSWER).parameters == {Parameter.DESCRIPTION: b"answer"}
     program.exchange.release(CALL, 16)
-    assert caller.expect(Kind.RELEASE).cause() == 16
+    assert caller.expect(MessageType.RELEASE).cause() == 16
     program.exchange.release(CALL, 16)  # told again, as on a next connection: not passed again
     program.standing(caller, OTHER)
 
@@ -44,47 +47,49 @@
 ) -> None:
     caller = program.caller()
     caller.set_up(dest=dest, kind=kind)
-    refusal = caller.expect(Kind.RELEASE)
-    assert refusal.cause() in (34, 42, 102) and refusal.whole(Code.REDIAL_AFTER) == 2000
+    refusal = caller.expect(MessageType.RELEASE)
+    assert refusal.cause() in (34, 42, 102) and refusal.integer(Parameter.REDIAL_AFTER) == 2000
     program.standing(caller, OTHER)
 
 
 def test_silence_is_given_up_at_the_deadline_and_the_caller_told(program: Program) -> None:
     caller = program.caller()
     caller.set_up(patience_ms=1000)
-    program.exchange.expect(Kind.SET_UP)
-    assert program.exchange.expect(Kind.RELEASE).cause() == ReleaseCause.NORMAL
-    assert caller.expect(Kind.RELEASE).cause() not in (34, 42, 102)
+    program.exchange.expect(MessageType.SET_UP)
+    assert program.exchange.expect(MessageType.RELEASE).cause() == ReleaseCause.NORMAL
+    assert caller.expect(MessageType.RELEASE).cause() not in (34, 42, 102)
 
 
 def test_a_caller_that_gives_up_before_the_answer_frees_the_exchange(program: Program) -> None:
     caller = program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     caller.release(CALL, 16)
-    assert program.exchange.expect(Kind.RELEASE).cause() == 16
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"crossed"})  # owed to nobody any more
+    assert program.exchange.expect(MessageType.RELEASE).cause() == 16
+    program.exchange.send(
+        MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"crossed"}
+    )  # owed to nobody any more
     program.standing(caller, OTHER)
 
 
 def test_a_malformed_message_closes_its_connection_and_ends_its_calls_only(program: Program) -> None:
     bad, good = program.caller(), program.caller()
     bad.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     bad.socket.sendall(b"\x00\x03abc")
-    assert bad.expect(Kind.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
+    assert bad.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
     assert bad.receive() is None
-    assert program.exchange.expect(Kind.RELEASE).cause() == 16
+    assert program.exchange.expect(MessageType.RELEASE).cause() == 16
     program.standing(good, OTHER)
 
 
-BAD_SET_UPS: dict[str, dict[Code, bytes | str | None]] = {
-    "no patience": {Code.PATIENCE: None},
-    "patience of the past": {Code.PATIENCE: "-5"},
-    "patience beyond number": {Code.PATIENCE: "9" * 23},
-    "no description": {Code.DESCRIPTION: None},
-    "no width": {Code.FIGURES: "dest:1;width:0;via:-1"},
-    "no number": {Code.FIGURES: "dest:nan;width:1;via:-1"},
+BAD_SET_UPS: dict[str, dict[Parameter, bytes | str | None]] = {
+    "no patience": {Parameter.PATIENCE: None},
+    "patience of the past": {Parameter.PATIENCE: "-5"},
+    "patience beyond number": {Parameter.PATIENCE: "9" * 23},
+    "no description": {Parameter.DESCRIPTION: None},
+    "no width": {Parameter.ROUTING: "dest:1;width:0;via:-1"},
+    "no number": {Parameter.ROUTING: "dest:nan;width:1;via:-1"},
 }
 
 
@@ -95,29 +100,29 @@
     """Guards the exchanges too: they close on what they cannot read, whatever else is open there."""
     caller, third = program.caller(), "0" * 16 if bad == "no id" else "00000000000000c3"
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     if bad == "cut off":
         caller.socket.sendall(b"\x00\x0b\x01" + bytes.fromhex(third) + b"\x40\x00")
     else:
         caller.set_up(third, changes=BAD_SET_UPS.get(bad))
-    assert caller.expect(Kind.RELEASE, third).cause() == ReleaseCause.UNREADABLE
+    assert caller.expect(MessageType.RELEASE, third).cause() == ReleaseCause.INVALID_CONTENTS
     caller.set_up(OTHER)
-    program.exchange.expect(Kind.SET_UP, OTHER)
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER)
+    program.exchange.expect(MessageType.SET_UP, OTHER)
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER)
 
 
 def test_two_set_ups_under_one_id_never_stand_and_another_callers_id_is_left_alone(program: Program) -> None:
     caller, bad = program.caller(), program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     bad.set_up()  # the id of a call that is open on another connection
-    assert bad.expect(Kind.RELEASE).cause() == ReleaseCause.UNREADABLE
+    assert bad.expect(MessageType.RELEASE).cause() == ReleaseCause.INVALID_CONTENTS
     for _ in range(2):
         bad.set_up(OTHER)
-    assert bad.expect(Kind.RELEASE, OTHER).cause() == ReleaseCause.TEMPORARY_FAILURE
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER)
+    assert bad.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.TEMPORARY_FAILURE
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER)
 
 
 @pytest.mark.parametrize("sent", [b"", b"\x00\x40\x01"])
@@ -130,27 +135,27 @@
     began = time.monotonic()
     assert bad.receive() is None and time.monotonic() - began < 3
     program.exchange.release(CALL, 16)
-    caller.expect(Kind.RELEASE)
+    caller.expect(MessageType.RELEASE)
 
 
 def test_a_set_up_that_takes_two_seconds_to_write_is_taken(program: Program) -> None:
     """On crowded days some usual callers write theirs so slowly, each on a fresh connection."""
     caller = program.caller()
     message = encode(
-        Kind.SET_UP,
+        MessageType.SET_UP,
         CALL,
         {
-            Code.CLASS: "voice",
-            Code.PATIENCE: "60000",
-            Code.NUMBER: "7f3a9c21e0b4d655",
-            Code.FIGURES: "dest:1",
-            Code.DESCRIPTION: b"offer",
+            Parameter.CLASS: "voice",
+            Parameter.PATIENCE: "60000",
+            Parameter.NUMBER: "7f3a9c21e0b4d655",
+            Parameter.ROUTING: "dest:1",
+            Parameter.DESCRIPTION: b"offer",
         },
     )
     for at in range(0, len(message), 30):
         caller.socket.sendall(message[at : at + 30])
         time.sleep(2.2 * 30 / len(message))
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
 
 
 def test_at_the_share_of_descriptors_an_idle_connection_goes_and_a_callers_newest_stays(
@@ -159,13 +164,13 @@
     with running(tmp_path, limits={"cores": 1.0, "memory_mb": 64, "sockets": 32}) as program:
         usual = program.caller()
         usual.set_up()
-        program.exchange.expect(Kind.SET_UP)
+        program.exchange.expect(MessageType.SET_UP)
         idle = [program.caller() for _ in range(30)]  # more than the program may hold
         newest = program.caller()
         program.standing(newest, OTHER)
         assert idle[0].receive() is None
-        program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-        usual.expect(Kind.ANSWER)
+        program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+        usual.expect(MessageType.ANSWER)
 
 
 def test_a_call_taken_back_before_it_was_looked_at_reaches_neither_module_nor_exchange(
@@ -184,9 +189,9 @@
     for _ in range(3):
         bad = program.caller()
         for _ in range(BAD_SET_UPS_LIMIT + 1):
-            bad.set_up(changes={Code.DESCRIPTION: None})
+            bad.set_up(changes={Parameter.DESCRIPTION: None})
         for _ in range(BAD_SET_UPS_LIMIT + 1):
-            bad.expect(Kind.RELEASE)
+            bad.expect(MessageType.RELEASE)
         assert bad.receive() is None
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(20) == 0 and program.process.stdout is not None
@@ -194,7 +199,7 @@
 
 
 def test_a_malformed_report_closes_the_exchanges_connection_and_another_comes(program: Program) -> None:
-    program.exchange.send(Kind.GROUP_STATE, CALL, {Code.REPORT: "idle:many"})
+    program.exchange.send(MessageType.GROUP_STATE, CALL, {Parameter.REPORT: "idle:many"})
     program.exchange.ended.get(timeout=20)
     program.exchange.opened.get(timeout=20)
     program.standing(program.caller())
@@ -204,8 +209,8 @@
     program.exchange.release(CALL, 41)  # no caller is connected: kept until one is
     caller = program.caller()
     caller.release(OTHER, 16)
-    assert caller.expect(Kind.RELEASE).cause() == 41
-    assert program.exchange.expect(Kind.RELEASE, OTHER).cause() == 16
+    assert caller.expect(MessageType.RELEASE).cause() == 41
+    assert program.exchange.expect(MessageType.RELEASE, OTHER).cause() == 16
 
 
 def test_a_standing_call_outlives_its_connections(program: Program) -> None:
@@ -214,9 +219,9 @@
     first.socket.close()
     second = program.caller()
     second.release(OTHER, 16)
-    program.exchange.expect(Kind.RELEASE, OTHER)  # by now the first one's end has been read as well
+    program.exchange.expect(MessageType.RELEASE, OTHER)  # by now the first one's end has been read as well
     program.exchange.release(CALL, 16)
-    assert second.expect(Kind.RELEASE).cause() == 16
+    assert second.expect(MessageType.RELEASE).cause() == 16
 
 
 def test_a_release_goes_to_a_caller_that_calls_rather_than_to_a_silent_one(program: Program) -> None:
@@ -226,7 +231,7 @@
     first.socket.close()
     silent.tested()  # by now the first one's end has been read as well
     program.exchange.release(CALL, 16)
-    usual.expect(Kind.RELEASE)
+    usual.expect(MessageType.RELEASE)
 
 
 def test_what_a_gone_exchange_cut_is_released_to_its_caller(program: Program) -> None:
@@ -234,19 +239,21 @@
     program.standing(caller)
     gone = {**instance("far", 1, program.exchange.address), "lifecycle": "removed"}
     program.tell(event(2, gone))
-    assert caller.expect(Kind.RELEASE).cause() == 41
+    assert caller.expect(MessageType.RELEASE).cause() == 41
     assert program.exchange.ended.get(timeout=20)
 
 
 def test_a_lost_connection_ends_its_set_ups_and_is_opened_again(program: Program) -> None:
     caller = program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     program.exchange.drop(program.exchange.line_of[CALL], reset=True)
-    program.exchange.expect(Kind.RELEASE)  # in case it stood, and the answer was lost
-    program.exchange.expect(Kind.SET_UP)  # the module's further attempt, once the release has been awaited
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER)
+    program.exchange.expect(MessageType.RELEASE)  # in case it stood, and the answer was lost
+    program.exchange.expect(
+        MessageType.SET_UP
+    )  # the module's further attempt, once the release has been awaited
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER)
 
 
 def test_a_mute_connection_is_replaced_and_its_calls_and_releases_saved(program: Program) -> None:
@@ -261,12 +268,12 @@
     (lost,) = [message.call for line, message in sent if line is exchange.mute]
     assert exchange.ended.get(timeout=20) is exchange.mute
     exchange.opened.get(timeout=20)
-    exchange.expect(Kind.RELEASE, lost)
-    exchange.expect(Kind.SET_UP, lost)
-    exchange.send(Kind.ANSWER, lost, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER, lost)
+    exchange.expect(MessageType.RELEASE, lost)
+    exchange.expect(MessageType.SET_UP, lost)
+    exchange.send(MessageType.ANSWER, lost, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER, lost)
     exchange.release(CALL, 16)  # as exchanges do on the next connection that opens
-    caller.expect(Kind.RELEASE)
+    caller.expect(MessageType.RELEASE)
 
 
 def test_a_spoilt_answer_ends_the_set_ups_of_its_connection_only(program: Program) -> None:
@@ -276,12 +283,12 @@
     (spoilt, first), (good, second) = (exchange.came.get(timeout=20) for _ in range(2))
     assert spoilt is not good
     spoilt.socket.sendall(b"\xff" * 100)
-    exchange.expect(Kind.RELEASE, first.call)
-    good.send(Kind.ANSWER, second.call, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER, second.call)
-    exchange.expect(Kind.SET_UP, first.call)
-    exchange.send(Kind.ANSWER, first.call, {Code.DESCRIPTION: b"answer"})
-    caller.expect(Kind.ANSWER, first.call)
+    exchange.expect(MessageType.RELEASE, first.call)
+    good.send(MessageType.ANSWER, second.call, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER, second.call)
+    exchange.expect(MessageType.SET_UP, first.call)
+    exchange.send(MessageType.ANSWER, first.call, {Parameter.DESCRIPTION: b"answer"})
+    caller.expect(MessageType.ANSWER, first.call)
 
 
 def test_the_change_log_is_followed_in_order_and_taken_up_where_it_broke(program: Program) -> None:
@@ -298,7 +305,7 @@
     again = program.changelog.accept()
     assert again.recv(100) == b"since 2\n"
     program.caller().set_up(dest=2)
-    near.expect(Kind.SET_UP)
+    near.expect(MessageType.SET_UP)
 
 
 def test_a_change_log_that_answers_slowly_is_not_hung_up_on(program: Program) -> None:
@@ -315,15 +322,15 @@
 def test_sigterm_lets_open_calls_finish_and_takes_more_on_open_connections(program: Program) -> None:
     caller, late = program.caller(), program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     program.process.send_signal(signal.SIGTERM)
     program.logged("stopping")
     late.set_up(OTHER)
-    program.exchange.expect(Kind.SET_UP, OTHER)
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"one"})
-    program.exchange.send(Kind.ANSWER, OTHER, {Code.DESCRIPTION: b"two"})
-    caller.expect(Kind.ANSWER)
-    late.expect(Kind.ANSWER, OTHER)
+    program.exchange.expect(MessageType.SET_UP, OTHER)
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"one"})
+    program.exchange.send(MessageType.ANSWER, OTHER, {Parameter.DESCRIPTION: b"two"})
+    caller.expect(MessageType.ANSWER)
+    late.expect(MessageType.ANSWER, OTHER)
     assert caller.receive() is None and program.process.wait(20) == 0
 
 
@@ -343,7 +350,7 @@
         program.logged("configuration not taken")
     program.tell(event(3, instance("near", 2, near.address, "removed")))
     program.exchange.release(CALL, 16)
-    assert caller.expect(Kind.RELEASE).cause() == 16
+    assert caller.expect(MessageType.RELEASE).cause() == 16
 
 
 def test_a_test_of_the_connection_passes(program: Program) -> None:
@@ -398,10 +405,10 @@
     """The answer and the end of the caller's connection may be read in the same pass of the loop."""
     caller = program.caller()
     caller.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     program.process.send_signal(signal.SIGSTOP)
     caller.reset()
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"too late"})
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"too late"})
     program.process.send_signal(signal.SIGCONT)
-    assert program.exchange.expect(Kind.RELEASE).cause() == 16
+    assert program.exchange.expect(MessageType.RELEASE).cause() == 16
     program.standing(program.caller(), OTHER)
--- a/tests/test_vanished_exchange.py
+++ b/tests/test_vanished_exchange.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from arrowkeel.net.codec import Code, Kind, ReleaseCause
+from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause
 from tests.peers import CALL, OTHER, Peer, Program, event, instance, running
 from tests.standins.fault_proxy import FaultProxy, threaded
 
@@ -49,7 +49,7 @@
     caller = two_standing(program)
     run(proxy.cut)
     vanished = time.monotonic()
-    program.exchange.state = {Code.REPORT: "idle:60;circuits:60;max_rate:-1"}
+    program.exchange.state = {Parameter.REPORT: "idle:60;circuits:60;max_rate:-1"}
     program.exchange.drop(*program.exchange.lines, reset=True)
     time.sleep(4.0)
     run(proxy.heal)
@@ -72,7 +72,7 @@
     time.sleep(RELEASE_LIMIT_S + 1.0)
     for call in (CALL, OTHER):
         program.exchange.release(call, ReleaseCause.NORMAL)
-        assert caller.expect(Kind.RELEASE, call).cause() == ReleaseCause.NORMAL
+        assert caller.expect(MessageType.RELEASE, call).cause() == ReleaseCause.NORMAL
 
 
 def two_standing(program: Program) -> Peer:
@@ -86,8 +86,8 @@
 def expect_both_released(caller: Peer, since: float) -> None:
     released = [caller.receive() for _ in range(2)]
     took_s = time.monotonic() - since
-    assert {(message.kind, message.call) for message in released if message is not None} == {
-        (Kind.RELEASE, CALL),
-        (Kind.RELEASE, OTHER),
+    assert {(message.type, message.call) for message in released if message is not None} == {
+        (MessageType.RELEASE, CALL),
+        (MessageType.RELEASE, OTHER),
     }
     assert took_s < RELEASE_LIMIT_S
