--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -62,17 +62,17 @@
         credit_ns = HALF_CREDIT_NS if connection.half_since_ns else 0
         return connection.taken > 0, connection.heard_at_ns + credit_ns
 
-    def leave(self, departure: Departure) -> None:
+    def start_departure(self, departure: Departure) -> None:
         """Each connection goes once nothing is lost with it, until they may stay again."""
         self.departure = departure
 
-    def stay(self) -> None:
+    def cancel_departure(self) -> None:
         self.departure = None
 
     def refuses(self, now_ns: int) -> bool:
         return self.departure is not None and self.departure.refuses(now_ns)
 
-    def must_answer_all(self, now_ns: int) -> bool:
+    def must_end_open_calls(self, now_ns: int) -> bool:
         return self.departure is not None and self.departure.must_answer_all(now_ns)
 
     def use_of(self, connection: CallerConnection) -> ConnectionUse:
--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -52,7 +52,7 @@
     """What the controller does for connections from callers, whatever protocol they speak."""
 
     @property
-    def takes_calls(self) -> bool: ...
+    def accepts_calls(self) -> bool: ...
     def caller_connected(self, connection: CallerConnection) -> None: ...
     def caller_recognised(self, connection: CallerConnection) -> None: ...
     def caller_lost(self, connection: CallerConnection) -> None: ...
@@ -132,7 +132,7 @@
                 self.handler.caller_ended(message.call, message.cause())
                 self.recognise()
             case MessageType.TEST:
-                result = TEST_PASSED if self.handler.takes_calls else TEST_FAILED
+                result = TEST_PASSED if self.handler.accepts_calls else TEST_FAILED
                 self.write(encode(MessageType.TEST_RESULT, message.call, {Parameter.CAUSE: result}))
             case MessageType.PROGRESS | MessageType.RELEASE_COMPLETE:
                 pass
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -48,7 +48,7 @@
             config.bounds.change_log_line,
         )
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
-        self.takes_calls = True  # what tests of a caller's connection are told
+        self.accepts_calls = True  # what tests of a caller's connection are told
 
     @property
     def pools(self) -> dict[str, ExchangePool]:
@@ -87,7 +87,7 @@
         if config.changelog != old.changelog:
             self.changelog.move(config.changelog)
 
-    def answer_all(self) -> None:
+    def fail_open_calls(self) -> None:
         """The end is near: every open call gets its final answer, and nothing stays out for it."""
         open_calls = self.calls.open_calls()
         if open_calls:
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -282,7 +282,7 @@
         """One that alone leads to a process with standing calls is kept: if it speaks, that process lives."""
         for connection in mute:
             if connection.set_ups or not self.liveness.is_witness(connection.number):
-                connection.abort_as(ConnectionLoss.MUTE)
+                connection.abort_as(ConnectionLoss.UNRESPONSIVE)
 
     def close_spare(self) -> None:
         unused = [each for each in self.connections if not each.set_ups]
--- a/arrowkeel/net/metrics.py
+++ b/arrowkeel/net/metrics.py
@@ -30,7 +30,7 @@
 
     CLOSED_BY_PEER = "closed_by_peer"
     RESET = "reset"
-    MUTE = "mute"
+    UNRESPONSIVE = "mute"
     CLOSED_BY_US = "closed_by_us"
 
 
