--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -94,7 +94,7 @@
             self.handle_protocol_error(str(error))
         if not self.decoder.buffer:
             self.incomplete_since_ns = 0
-        elif self.decoder.whole or not self.incomplete_since_ns:
+        elif self.decoder.completed_count or not self.incomplete_since_ns:
             self.incomplete_since_ns = time.monotonic_ns()
 
     def handle_protocol_error(self, reason: str) -> None:
