--- a/arrowkeel/drill.py
+++ b/arrowkeel/adapter.py
@@ -41,7 +41,7 @@
         self.events: list[it.Event] = []
 
 
-class Drill:
+class SimulatorAdapter:
     """Reads batches line by line and answers each."""
 
     def __init__(self, answers: TextIO, complaints: TextIO) -> None:
@@ -69,7 +69,7 @@
                 continue
             try:
                 self.take(line)
-            except wire.MalformedError as error:
+            except wire.MalformedInputError as error:
                 self.complain(f"{line.partition(' ')[0]}: {error}")
         if self.in_batch:
             self.complain("BATCH: input ended before EOB")
@@ -86,7 +86,7 @@
             self.batch_index = wire.whole(fields, "n")
             self.in_batch, self.current = True, -1
         elif not self.in_batch:
-            raise wire.MalformedError("field BATCH: a line outside any batch")
+            raise wire.MalformedInputError("field BATCH: a line outside any batch")
         elif name == "EOB":
             self.reply()
         elif name == "TO":
@@ -108,7 +108,7 @@
 
     def take_entry(self, fields: dict[str, str]) -> None:
         if self.bank_left <= 0:
-            raise wire.MalformedError("field hosts: more EXCHANGE lines than the ROSTER announced")
+            raise wire.MalformedInputError("field hosts: more EXCHANGE lines than the ROSTER announced")
         self.bank_left -= 1
         try:
             self.bank_entries.append(wire.read_entry(fields))
@@ -123,7 +123,7 @@
         agent = self.agents.get(self.current)
         if agent is None:
             if name == "BACKENDS_CHANGED" or wire.read_event(name, fields, ()) is not None:
-                raise wire.MalformedError(f"field i: no instance {self.current} has begun")
+                raise wire.MalformedInputError(f"field i: no instance {self.current} has begun")
             return
         if name == "BACKENDS_CHANGED":
             kind = wire.one_of(fields, "how", wire.LIST_KINDS)
@@ -131,7 +131,7 @@
             if kind is not it.ListKind.FAILED:
                 bank = wire.whole(fields, "bank")
                 if bank not in self.banks:
-                    raise wire.MalformedError(f"field bank: no ROSTER has number {bank}")
+                    raise wire.MalformedInputError(f"field bank: no ROSTER has number {bank}")
                 entries = self.banks[bank]
             for entry in entries:
                 agent.known.add(entry.exchange)
@@ -141,14 +141,16 @@
         if event is None:
             return
         if isinstance(event, it.CallEstablished | it.ProbeAnswer) and event.exchange not in agent.known:
-            raise wire.MalformedError(f"field exchange: {event.exchange!r} is in no list of this instance")
+            raise wire.MalformedInputError(
+                f"field exchange: {event.exchange!r} is in no list of this instance"
+            )
         if isinstance(event, it.CallOffered):
             agent.calls.add(event.call)
         elif (
             isinstance(event, it.CallEstablished | it.AttemptEnded | it.CallerLeft)
             and event.call not in agent.calls
         ):
-            raise wire.MalformedError(f"field msgId: {event.call} was never given to this instance")
+            raise wire.MalformedInputError(f"field msgId: {event.call} was never given to this instance")
         agent.events.append(event)
 
     def reply(self) -> None:
--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -201,7 +201,7 @@
         raise ConfigError(f"known.results: {error}") from None
     try:
         read, names = wire.read_settings(json.dumps(settings))
-    except (wire.MalformedError, OverflowError) as error:
+    except (wire.MalformedInputError, OverflowError) as error:
         raise ConfigError(f"settings: {error}") from None
     allowed = field_of(settings, "permissions", dict, "settings.")
     operator = raw.get("operator") or environment.get("LB_OPERATOR")
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -177,5 +177,5 @@
         row = ",".join(figures.get(name, "-1") for name in names)
         try:
             return wire.read_report({"load": row}, names)
-        except (wire.MalformedError, ValueError) as error:
+        except (wire.MalformedInputError, ValueError) as error:
             raise MalformedMessageError(f"parameter {Code.REPORT.value}: {error}") from None
--- a/arrowkeel/simhost.py
+++ b/arrowkeel/simhost.py
@@ -1,14 +1,14 @@
-"""The simulator's process: the drill on standard input and output."""
+"""The simulator's process: the adapter on standard input and output."""
 
 from __future__ import annotations
 
 import sys
 
-from arrowkeel.drill import Drill
+from arrowkeel.adapter import SimulatorAdapter
 
 
 def main() -> int:
-    return Drill(sys.stdout, sys.stderr).run(sys.stdin)
+    return SimulatorAdapter(sys.stdout, sys.stderr).run(sys.stdin)
 
 
 if __name__ == "__main__":
--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -63,7 +63,7 @@
 T = TypeVar("T")
 
 
-class MalformedError(ValueError):
+class MalformedInputError(ValueError):
     """A line that cannot be read; the text names the field."""
 
 
@@ -80,7 +80,7 @@
     for part in rest.split(" ") if rest else ():
         key, equals, value = part.partition("=")
         if not equals or not key:
-            raise MalformedError(f"field {part!r}: expected name=value")
+            raise MalformedInputError(f"field {part!r}: expected name=value")
         fields[key] = value
     return name, fields
 
@@ -88,7 +88,7 @@
 def text(fields: Mapping[str, str], name: str) -> str:
     value = fields.get(name, "")
     if not value:
-        raise MalformedError(f"field {name}: missing")
+        raise MalformedInputError(f"field {name}: missing")
     return value
 
 
@@ -96,32 +96,32 @@
     value = fields.get(name)
     if value is None:
         if default is None:
-            raise MalformedError(f"field {name}: missing")
+            raise MalformedInputError(f"field {name}: missing")
         return default
     try:
         return int(value)
     except ValueError:
-        raise MalformedError(f"field {name}: {value!r} is not a whole number") from None
+        raise MalformedInputError(f"field {name}: {value!r} is not a whole number") from None
 
 
 def number(fields: Mapping[str, str], name: str, default: float) -> float:
     try:
         return float(fields.get(name, default))
     except ValueError:
-        raise MalformedError(f"field {name}: {fields[name]!r} is not a number") from None
+        raise MalformedInputError(f"field {name}: {fields[name]!r} is not a number") from None
 
 
 def flag(fields: Mapping[str, str], name: str) -> bool:
     value = fields.get(name, "0")
     if value not in ("0", "1"):
-        raise MalformedError(f"field {name}: {value!r} is neither 0 nor 1")
+        raise MalformedInputError(f"field {name}: {value!r} is neither 0 nor 1")
     return value == "1"
 
 
 def one_of(fields: Mapping[str, str], name: str, choices: Mapping[str, T]) -> T:
     value = text(fields, name)
     if value not in choices:
-        raise MalformedError(f"field {name}: {value!r} is unknown")
+        raise MalformedInputError(f"field {name}: {value!r} is unknown")
     return choices[value]
 
 
@@ -137,7 +137,7 @@
         try:
             value = float(cell)
         except ValueError:
-            raise MalformedError(f"field load: {cell!r} is not a number") from None
+            raise MalformedInputError(f"field load: {cell!r} is not a number") from None
         if value >= 0 and value != float("inf"):  # -1 and what is no figure at all count as absent
             target, factor = known
             values[target] = int(value) if target in WHOLE_FIELDS else value * factor
@@ -219,15 +219,15 @@
     try:
         raw = json.loads(options)
     except ValueError as error:
-        raise MalformedError(f"field options: not JSON ({error})") from None
+        raise MalformedInputError(f"field options: not JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise MalformedError("field options: not a JSON object")
+        raise MalformedInputError("field options: not a JSON object")
     try:
         return _settings(raw), tuple(str(name) for name in (raw.get("report") or {}).get("names") or ())
     except KeyError as error:
-        raise MalformedError(f"field options: setting {error.args[0]} is missing") from None
+        raise MalformedInputError(f"field options: setting {error.args[0]} is missing") from None
     except (TypeError, AttributeError, ValueError, IndexError) as error:
-        raise MalformedError(f"field options: {error}") from None
+        raise MalformedInputError(f"field options: {error}") from None
 
 
 def _settings(raw: Mapping[str, Any]) -> it.Settings:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel import wire
-from arrowkeel.drill import Drill, RecentNames
+from arrowkeel.adapter import RecentNames, SimulatorAdapter
 
 OPTIONS = json.dumps(
     {
@@ -32,7 +32,7 @@
 
 def play(text: str) -> tuple[list[str], list[str], int]:
     out, errors = io.StringIO(), io.StringIO()
-    status = Drill(out, errors).run(io.StringIO(text))
+    status = SimulatorAdapter(out, errors).run(io.StringIO(text))
     return out.getvalue().splitlines(), errors.getvalue().splitlines(), status
 
 
