--- a/arrowkeel/adapter.py
+++ b/arrowkeel/adapter.py
@@ -82,25 +82,25 @@
             self.close_bank()
             self.complain(f"{name}: field hosts: {missing} EXCHANGE lines are missing from the ROSTER before")
         if name == "BATCH":
-            self.now_ns = wire.whole(fields, "tsNs")
-            self.batch_index = wire.whole(fields, "n")
+            self.now_ns = wire.read_integer(fields, "tsNs")
+            self.batch_index = wire.read_integer(fields, "n")
             self.in_batch, self.current = True, -1
         elif not self.in_batch:
             raise wire.MalformedInputError("field BATCH: a line outside any batch")
         elif name == "EOB":
             self.reply()
         elif name == "TO":
-            self.current = wire.whole(fields, "i")
+            self.current = wire.read_integer(fields, "i")
         elif name == "ROSTER":
-            self.bank, self.bank_left = wire.whole(fields, "bank"), wire.whole(fields, "hosts")
+            self.bank, self.bank_left = wire.read_integer(fields, "bank"), wire.read_integer(fields, "hosts")
             self.bank_entries = []
             if self.bank_left <= 0:
                 self.close_bank()
         elif name == "EXCHANGE":
             self.take_entry(fields)
         elif name == "BEGIN":
-            settings, names = wire.read_settings(wire.text(fields, "options"))
-            self.agents[self.current] = Agent(Policy(settings, wire.whole(fields, "salt")), names)
+            settings, names = wire.read_settings(wire.read_text(fields, "options"))
+            self.agents[self.current] = Agent(Policy(settings, wire.read_integer(fields, "salt")), names)
         elif name == "KILL":
             self.agents.pop(self.current, None)
         else:
@@ -126,10 +126,10 @@
                 raise wire.MalformedInputError(f"field i: no instance {self.current} has begun")
             return
         if name == "BACKENDS_CHANGED":
-            kind = wire.one_of(fields, "how", wire.LIST_KINDS)
+            kind = wire.read_choice(fields, "how", wire.LIST_KINDS)
             entries: tuple[it.ListedExchange, ...] = ()
             if kind is not it.ListKind.FAILED:
-                bank = wire.whole(fields, "bank")
+                bank = wire.read_integer(fields, "bank")
                 if bank not in self.banks:
                     raise wire.MalformedInputError(f"field bank: no ROSTER has number {bank}")
                 entries = self.banks[bank]
