--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -147,8 +147,8 @@
 def read_report(fields: Mapping[str, str], report_names: tuple[str, ...]) -> it.LoadReport | None:
     """The report in field `load`, whose values stand in the order of `report_names`; None if there is none.
 
-    Values with an unknown name or beyond the last name are skipped. Raises MalformedInputError on a value that
-    is not a number.
+    Values with an unknown name or beyond the last name are skipped. A value that is no number raises
+    MalformedInputError.
     """
     load = fields.get("load")
     if load is None or load == "":
