--- a/arrowkeel/adapter.py
+++ b/arrowkeel/adapter.py
@@ -1,4 +1,7 @@
-"""Batches of simulator lines to replies: hosts many agents that share nothing. No decision is made here."""
+"""Connects the simulator to the policy: reads batches of lines and replies with the policy's actions.
+
+One adapter hosts many controllers, which share nothing. It makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +11,15 @@
 from arrowkeel import wire
 from arrowkeel.policy import Policy
 
-REMEMBERED = 50_000  # calls and exchanges an agent is held to know, so that a long run needs no more memory
+# How many calls, and how many exchanges, a controller is known to have met: bounds the memory of a long run.
+MAX_RECENT_NAMES = 50_000
 
 
 class RecentNames:
-    """Names met, the latest only: what was met long ago is forgotten."""
+    """A set of the names that were added last; beyond the limit the name added longest ago is dropped."""
 
-    def __init__(self, most: int = REMEMBERED) -> None:
-        self.most = most
+    def __init__(self, limit: int = MAX_RECENT_NAMES) -> None:
+        self.limit = limit
         self.names: dict[str, None] = {}
 
     def __contains__(self, name: str) -> bool:
@@ -25,144 +29,167 @@
         return len(self.names)
 
     def add(self, name: str) -> None:
+        """Adds the name, or makes it the latest one if it is in the set already."""
         self.names.pop(name, None)
         self.names[name] = None
-        if len(self.names) > self.most:
+        if len(self.names) > self.limit:
             del self.names[next(iter(self.names))]
 
 
-class Agent:
-    """One hosted instance: its policy, the names of its report's values and the events of this batch."""
+class HostedController:
+    """One controller of the simulation: its policy, what it has been given, and its events of this batch."""
 
     def __init__(self, policy: Policy, report_names: tuple[str, ...]) -> None:
         self.policy = policy
-        self.report_names = report_names
-        self.known, self.calls = RecentNames(), RecentNames()
+        self.report_names = report_names  # names of the values in a load report, in their order
+        self.known_exchanges, self.known_calls = RecentNames(), RecentNames()
         self.events: list[it.Event] = []
 
 
 class SimulatorAdapter:
-    """Reads batches line by line and answers each."""
-
-    def __init__(self, answers: TextIO, complaints: TextIO) -> None:
-        self.answers = answers
-        self.complaints = complaints
-        self.agents: dict[int, Agent] = {}
-        self.banks: dict[int, tuple[it.ListedExchange, ...]] = {}
-        self.current = -1
-        self.now_ns = 0
+    """Reads batches line by line and replies to each at its end."""
+
+    def __init__(self, replies: TextIO, errors: TextIO) -> None:
+        self.replies = replies
+        self.errors = errors
+        self.controllers: dict[int, HostedController] = {}  # by index
+        self.lists: dict[int, tuple[it.ListedExchange, ...]] = {}  # exchange lists by number
+        self.current_index = -1  # of the controller that the lines are for; -1 for none
+        self.now_ns = 0  # time of the batch
         self.batch_index = 0
         self.in_batch = False
-        self.line_number = 0
-        self.bank = -1
-        self.bank_left = 0
-        self.bank_entries: list[it.ListedExchange] = []
+        self.line_number = 0  # of the input, from 1
+        self.list_number = -1  # of the list that is being read, or was read last
+        self.missing_entries = 0  # how many lines of that list are still to come
+        self.list_entries: list[it.ListedExchange] = []
 
-    def complain(self, message: str) -> None:
-        print(f"line {self.line_number}: {message}", file=self.complaints, flush=True)
+    def report_error(self, message: str) -> None:
+        print(f"line {self.line_number}: {message}", file=self.errors, flush=True)
 
     def run(self, lines: TextIO) -> int:
+        """Processes all input and returns the exit status, which is always 0.
+
+        A line that cannot be read is reported with its number, message and field, and skipped.
+        """
         for line in lines:
             self.line_number += 1
             line = line.rstrip("\r\n")
             if not line.strip():
                 continue
             try:
-                self.take(line)
+                self.process_line(line)
             except wire.MalformedInputError as error:
-                self.complain(f"{line.partition(' ')[0]}: {error}")
+                self.report_error(f"{line.partition(' ')[0]}: {error}")
         if self.in_batch:
-            self.complain("BATCH: input ended before EOB")
+            self.report_error("BATCH: input ended before EOB")
         return 0
 
-    def take(self, line: str) -> None:
+    def process_line(self, line: str) -> None:
+        """Carries out one line; raises MalformedInputError if it cannot be read or is out of place."""
         name, fields = wire.split_line(line)
-        if self.bank_left and name != "EXCHANGE":
-            missing, self.bank_left = self.bank_left, 0
-            self.close_bank()
-            self.complain(f"{name}: field hosts: {missing} EXCHANGE lines are missing from the ROSTER before")
+        if self.missing_entries and name != "EXCHANGE":
+            missing, self.missing_entries = self.missing_entries, 0
+            self.store_list()
+            self.report_error(
+                f"{name}: field hosts: {missing} EXCHANGE lines are missing from the preceding ROSTER"
+            )
         if name == "BATCH":
             self.now_ns = wire.read_integer(fields, "tsNs")
             self.batch_index = wire.read_integer(fields, "n")
-            self.in_batch, self.current = True, -1
+            self.in_batch, self.current_index = True, -1
         elif not self.in_batch:
             raise wire.MalformedInputError("field BATCH: a line outside any batch")
         elif name == "EOB":
-            self.reply()
+            self.write_replies()
         elif name == "TO":
-            self.current = wire.read_integer(fields, "i")
+            self.current_index = wire.read_integer(fields, "i")
         elif name == "ROSTER":
-            self.bank, self.bank_left = wire.read_integer(fields, "bank"), wire.read_integer(fields, "hosts")
-            self.bank_entries = []
-            if self.bank_left <= 0:
-                self.close_bank()
+            self.list_number, self.missing_entries = (
+                wire.read_integer(fields, "bank"),
+                wire.read_integer(fields, "hosts"),
+            )
+            self.list_entries = []
+            if self.missing_entries <= 0:
+                self.store_list()
         elif name == "EXCHANGE":
-            self.take_entry(fields)
+            self.add_list_entry(fields)
         elif name == "BEGIN":
-            settings, names = wire.read_settings(wire.read_text(fields, "options"))
-            self.agents[self.current] = Agent(Policy(settings, wire.read_integer(fields, "salt")), names)
+            settings, report_names = wire.read_settings(wire.read_text(fields, "options"))
+            self.controllers[self.current_index] = HostedController(
+                Policy(settings, wire.read_integer(fields, "salt")), report_names
+            )
         elif name == "KILL":
-            self.agents.pop(self.current, None)
+            self.controllers.pop(self.current_index, None)
         else:
-            self.take_event(name, fields)
+            self.queue_event(name, fields)
+
+    def add_list_entry(self, fields: dict[str, str]) -> None:
+        """Adds an EXCHANGE line to the list being read, and stores the list with its last one.
 
-    def take_entry(self, fields: dict[str, str]) -> None:
-        if self.bank_left <= 0:
+        A malformed entry counts as one of the announced lines.
+        """
+        if self.missing_entries <= 0:
             raise wire.MalformedInputError("field hosts: more EXCHANGE lines than the ROSTER announced")
-        self.bank_left -= 1
+        self.missing_entries -= 1
         try:
-            self.bank_entries.append(wire.read_entry(fields))
+            self.list_entries.append(wire.read_entry(fields))
         finally:
-            if self.bank_left == 0:
-                self.close_bank()
+            if self.missing_entries == 0:
+                self.store_list()
 
-    def close_bank(self) -> None:
-        self.banks[self.bank] = tuple(self.bank_entries)
+    def store_list(self) -> None:
+        """Stores the entries read so far under the number of their list."""
+        self.lists[self.list_number] = tuple(self.list_entries)
 
-    def take_event(self, name: str, fields: dict[str, str]) -> None:
-        agent = self.agents.get(self.current)
-        if agent is None:
+    def queue_event(self, name: str, fields: dict[str, str]) -> None:
+        """Queues the event of a line for the current controller; an unknown message is skipped."""
+        controller = self.controllers.get(self.current_index)
+        if controller is None:
             if name == "BACKENDS_CHANGED" or wire.read_event(name, fields, ()) is not None:
-                raise wire.MalformedInputError(f"field i: no instance {self.current} has begun")
+                raise wire.MalformedInputError(f"field i: no instance {self.current_index} has begun")
             return
         if name == "BACKENDS_CHANGED":
             kind = wire.read_choice(fields, "how", wire.LIST_KINDS)
             entries: tuple[it.ListedExchange, ...] = ()
             if kind is not it.ListKind.FAILED:
-                bank = wire.read_integer(fields, "bank")
-                if bank not in self.banks:
-                    raise wire.MalformedInputError(f"field bank: no ROSTER has number {bank}")
-                entries = self.banks[bank]
+                list_number = wire.read_integer(fields, "bank")
+                if list_number not in self.lists:
+                    raise wire.MalformedInputError(f"field bank: no ROSTER has number {list_number}")
+                entries = self.lists[list_number]
             for entry in entries:
-                agent.known.add(entry.exchange)
-            agent.events.append(it.ExchangeList(kind, entries))
+                controller.known_exchanges.add(entry.exchange)
+            controller.events.append(it.ExchangeList(kind, entries))
             return
-        event = wire.read_event(name, fields, agent.report_names)
+        event = wire.read_event(name, fields, controller.report_names)
         if event is None:
             return
-        if isinstance(event, it.CallEstablished | it.ProbeAnswer) and event.exchange not in agent.known:
+        if (
+            isinstance(event, it.CallEstablished | it.ProbeAnswer)
+            and event.exchange not in controller.known_exchanges
+        ):
             raise wire.MalformedInputError(
                 f"field exchange: {event.exchange!r} is in no list of this instance"
             )
         if isinstance(event, it.CallOffered):
-            agent.calls.add(event.call)
+            controller.known_calls.add(event.call)
         elif (
             isinstance(event, it.CallEstablished | it.AttemptEnded | it.CallerLeft)
-            and event.call not in agent.calls
+            and event.call not in controller.known_calls
         ):
             raise wire.MalformedInputError(f"field msgId: {event.call} was never given to this instance")
-        agent.events.append(event)
-
-    def reply(self) -> None:
-        out: list[str] = []
-        for index, agent in sorted(self.agents.items()):
-            if agent.events:
-                events, agent.events = agent.events, []
-                actions = agent.policy.handle(self.now_ns, events)
+        controller.events.append(event)
+
+    def write_replies(self) -> None:
+        """Lets each controller with events decide, in the order of their index, and writes the reply."""
+        reply: list[str] = []
+        for index, controller in sorted(self.controllers.items()):
+            if controller.events:
+                events, controller.events = controller.events, []
+                actions = controller.policy.handle(self.now_ns, events)
                 if actions:
-                    out.append(f"AT i={index}")
-                    out.extend(wire.write_action(action) for action in actions)
-        out.append(f"EOR n={self.batch_index}")
-        self.answers.write("\n".join(out) + "\n")
-        self.answers.flush()
+                    reply.append(f"AT i={index}")
+                    reply.extend(wire.write_action(action) for action in actions)
+        reply.append(f"EOR n={self.batch_index}")
+        self.replies.write("\n".join(reply) + "\n")
+        self.replies.flush()
         self.in_batch = False
--- a/arrowkeel/simhost.py
+++ b/arrowkeel/simhost.py
@@ -1,4 +1,4 @@
-"""The simulator's process: the adapter on standard input and output."""
+"""Entry point for the simulator: runs the adapter on standard input, output and error."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def main() -> int:
+    """Processes all input and returns the exit status."""
     return SimulatorAdapter(sys.stdout, sys.stderr).run(sys.stdin)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -139,7 +139,7 @@
 
 
 def test_names_met_long_ago_are_forgotten_and_the_listed_ones_kept() -> None:
-    known = RecentNames(most=3)
+    known = RecentNames(limit=3)
     for turn in range(50):
         known.add(f"call-{turn}")
         known.add("listed again and again")
