--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, what it writes, and what it says of bad input."""
+"""The simulator's line format and adapter: events read, actions written, and errors reported on bad input."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
     {
         "classes": [{"name": "plain", "onTimeNs": 1_500_000_000, "deadlineNs": 9_000_000_000, "new": 1}],
         "familyInfo": {"ownNumber": 0, "poolsByClass": None, "layout": "network"},
-        "report": {"how": "answers", "names": ["idle", "circuits", "moon", "latency_ms"]},
-        "neverMet": {"x": 1},
+        "report": {"how": "answers", "names": ["idle", "circuits", "unknown_figure", "latency_ms"]},
+        "unknownKey": {"x": 1},
     }
 )
+# A first batch: it starts controller 3 at exchange "north" and gives it a list of two exchanges.
 START = f"""BATCH tsNs=1000 n=0
 TO i=3
 BEGIN salt=5 options={OPTIONS}
@@ -31,26 +32,30 @@
 
 
 def play(text: str) -> tuple[list[str], list[str], int]:
-    out, errors = io.StringIO(), io.StringIO()
-    status = SimulatorAdapter(out, errors).run(io.StringIO(text))
-    return out.getvalue().splitlines(), errors.getvalue().splitlines(), status
+    """Runs the adapter on the text; returns its lines of replies, its lines of errors and its exit status."""
+    replies, errors = io.StringIO(), io.StringIO()
+    status = SimulatorAdapter(replies, errors).run(io.StringIO(text))
+    return replies.getvalue().splitlines(), errors.getvalue().splitlines(), status
 
 
 def batch(*lines: str) -> str:
+    """The first batch, and a second one with these lines for controller 3."""
     return START + "\n".join(("BATCH tsNs=2000 n=1", "TO i=3", *lines, "EOB", ""))
 
 
-JOB = "JOB_IN msgId=c1 class=plain targetKey=n/1 timeBudgetNs=3000000000 farEnd=1 units=1 advisedRoute=-1"
+CALL_OFFERED = (
+    "JOB_IN msgId=c1 class=plain targetKey=n/1 timeBudgetNs=3000000000 farEnd=1 units=1 advisedRoute=-1"
+)
 
 
-def test_a_call_is_placed_and_each_batch_is_closed_by_its_index() -> None:
-    out, errors, status = play(batch(JOB))
-    assert "PLACE msgId=c1 exchange=south" in out and out[-1] == "EOR n=1" and "EOR n=0" in out
+def test_call_is_set_up_and_each_batch_ends_with_its_index() -> None:
+    replies, errors, status = play(batch(CALL_OFFERED))
+    assert "PLACE msgId=c1 exchange=south" in replies and replies[-1] == "EOR n=1" and "EOR n=0" in replies
     assert not errors and status == 0
 
 
 @pytest.mark.parametrize(
-    ("line", "wanted"),
+    ("line", "field"),
     [
         ("OPENED msgId=c9 attempt=0 exchange=south lagNs=5", "msgId"),
         ("OPENED msgId=c1 attempt=0 exchange=west lagNs=5", "exchange"),
@@ -63,39 +68,39 @@
         ("JOB_IN msgId=c2 class=plain timeBudgetNs=5 farEnd=1 transit=2", "transit"),
     ],
 )
-def test_what_is_malformed_gets_one_message_naming_line_and_field(line: str, wanted: str) -> None:
-    out, errors, status = play(batch(JOB, line))
-    assert len(errors) == 1 and errors[0].startswith("line 12:") and wanted in errors[0]
-    assert out[-1] == "EOR n=1" and status == 0
+def test_malformed_line_gets_one_error_with_line_and_field(line: str, field: str) -> None:
+    replies, errors, status = play(batch(CALL_OFFERED, line))
+    assert len(errors) == 1 and errors[0].startswith("line 12:") and field in errors[0]
+    assert replies[-1] == "EOR n=1" and status == 0
 
 
 def test_unknown_messages_fields_and_report_names_are_skipped() -> None:
     report = "PROBED exchange=south ending=served lagNs=0 load=4,60,9,12 colour=red"
-    out, errors, _ = play(batch("WHISTLE tune=3", report, JOB))
-    assert not errors and "PLACE msgId=c1 exchange=south" in out
+    replies, errors, _ = play(batch("UNKNOWN_MESSAGE a=3", report, CALL_OFFERED))
+    assert not errors and "PLACE msgId=c1 exchange=south" in replies
 
 
-def test_absent_figures_are_not_load() -> None:
+def test_negative_and_nan_figures_count_as_absent() -> None:
     report = wire.read_report({"load": "4,60,-1,-1,nan"}, ("idle", "circuits", "latency_ms", "queue", "util"))
     assert report == it.LoadReport(free_circuits=4, group_size=60)
 
 
-def test_a_cut_off_batch_is_named_and_ends_with_status_0() -> None:
+def test_input_ending_within_a_batch_is_reported_and_exits_with_0() -> None:
     _, errors, status = play(START + "BATCH tsNs=3 n=1\n")
     assert status == 0 and len(errors) == 1 and "EOB" in errors[0]
 
 
-def test_a_killed_instance_is_forgotten_and_may_begin_again() -> None:
+def test_killed_controller_may_begin_again() -> None:
     again = START.splitlines()[2:-1]
-    out, errors, _ = play(batch("KILL", *again, JOB))
-    assert "PLACE msgId=c1 exchange=south" in out and not errors
+    replies, errors, _ = play(batch("KILL", *again, CALL_OFFERED))
+    assert "PLACE msgId=c1 exchange=south" in replies and not errors
 
 
-def test_instances_share_nothing() -> None:
+def test_controllers_share_nothing() -> None:
     both = START.replace("EOB", "TO i=4\n" + "\n".join(START.splitlines()[2:-1]) + "\nEOB")
-    out, _, _ = play(both + "\n".join(("BATCH tsNs=2000 n=1", "TO i=4", JOB, "EOB", "")))
-    alone, _, _ = play(batch(JOB))
-    assert [line for line in out if "PLACE" in line] == [line for line in alone if "PLACE" in line]
+    replies, _, _ = play(both + "\n".join(("BATCH tsNs=2000 n=1", "TO i=4", CALL_OFFERED, "EOB", "")))
+    only_one, _, _ = play(batch(CALL_OFFERED))
+    assert [line for line in replies if "PLACE" in line] == [line for line in only_one if "PLACE" in line]
 
 
 @pytest.mark.parametrize(
@@ -108,12 +113,12 @@
         (4, it.FailureCause.LINES_BUSY, 0),
     ],
 )
-def test_causes(code: int, cause: it.FailureCause, wait_ns: int) -> None:
+def test_clear_code_gives_cause_and_wait(code: int, cause: it.FailureCause, wait_ns: int) -> None:
     assert wire.read_cause(code) == (cause, wait_ns)
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "field"),
     [
         ({"classes": ()}, "classes"),
         ({"cold_share": 0.0}, "cold_share"),
@@ -121,13 +126,13 @@
         ({"release_guard_ns": -1}, "release_guard_ns"),
     ],
 )
-def test_unusable_settings_are_named(changes: dict[str, object], named: str) -> None:
+def test_settings_out_of_range_raise_an_error_with_the_field(changes: dict[str, object], field: str) -> None:
     fields: dict[str, object] = {"classes": (it.CallClass("a", 1, 2),), **changes}
-    with pytest.raises(ValueError, match=named):
+    with pytest.raises(ValueError, match=field):
         it.Settings(**fields)  # type: ignore[arg-type]
 
 
-def test_every_action_has_its_line() -> None:
+def test_every_action_is_written_as_its_line() -> None:
     assert wire.write_action(it.Refuse("c", 5)) == "REFUSE msgId=c notBeforeForNs=5"
     assert wire.write_action(it.SetUp("c", "x", 9)) == "PLACE msgId=c exchange=x stopAtNs=9"
     assert wire.write_action(it.Fail("c")) == "GIVE_UP msgId=c"
@@ -138,10 +143,10 @@
     assert wire.write_action(it.Note("a b")) == "SAY_LOG reasonText=a b"
 
 
-def test_names_met_long_ago_are_forgotten_and_the_listed_ones_kept() -> None:
-    known = RecentNames(limit=3)
-    for turn in range(50):
-        known.add(f"call-{turn}")
-        known.add("listed again and again")
-    assert len(known) == 3 and "listed again and again" in known
-    assert "call-49" in known and "call-0" not in known
+def test_recent_names_drop_the_oldest_and_keep_a_name_that_is_added_again() -> None:
+    names = RecentNames(limit=3)
+    for index in range(50):
+        names.add(f"call-{index}")
+        names.add("added again and again")
+    assert len(names) == 3 and "added again and again" in names
+    assert "call-49" in names and "call-0" not in names
