--- a/arrowkeel/net/calls.py
+++ b/arrowkeel/net/calls.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass, replace
 
-from arrowkeel.adapter import RecentNames
+from arrowkeel.drill import RecentNames
 from arrowkeel.net.callers import CallerConnection, Offer
 from arrowkeel.net.config import Bounds
 from arrowkeel.net.exchange_pool import ExchangePool
--- a/arrowkeel/simhost.py
+++ b/arrowkeel/simhost.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from arrowkeel.adapter import SimulatorAdapter
+from arrowkeel.drill import SimulatorAdapter
 
 
 def main() -> int:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel import wire
-from arrowkeel.adapter import RecentNames, SimulatorAdapter
+from arrowkeel.drill import RecentNames, SimulatorAdapter
 
 OPTIONS = json.dumps(
     {
