--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -235,9 +235,8 @@
     delay_ns: int = 0  # from sending the set-up to this end
     call_over: bool = False  # the call has ended too, so it gets no further attempt and no answer
     cause: FailureCause = FailureCause.UNSPECIFIED
-    reported_wait_ns: int = (
-        0  # with PROCESSOR_FULL: the wait for the processor, 0 if unknown; not used so far
-    )
+    # With PROCESSOR_FULL: the wait for the processor, 0 if unknown; no decision uses it.
+    reported_wait_ns: int = 0
     report: LoadReport | None = None
 
 
