--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -113,7 +113,9 @@
     list_age_limit_ns: int = 10_000_000_000  # the list must be requested at least once in this time
     # An exchange that has just started is cold: it can handle `cold_share` of its usual load, which rises
     # evenly to all of it within `warm_after_ns`. Within any window of `cold_window_ns` it must not receive
-    # more than `cold_multiple` times what it can handle.
+    # more than `cold_multiple` times what it can handle. The decisions limit the calls per second to it from
+    # `cold_share`, `cold_multiple` and `warm_after_ns`, and don't use `cold_window_ns`: that is read from the
+    # settings and checked for its range, and the tests of this limit count calls in windows of its length.
     cold_share: float = 0.3
     cold_multiple: float = 2.0
     cold_window_ns: int = 2_000_000_000
