--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -202,7 +202,7 @@
         raise ConfigError(f"known.results: {error}") from None
     try:
         read, names = wire.read_settings(json.dumps(settings))
-    except (wire.MalformedError, OverflowError) as error:
+    except (wire.MalformedInputError, OverflowError) as error:
         raise ConfigError(f"settings: {error}") from None
     allowed = field_of(settings, "permissions", dict, "settings.")
     operator = raw.get("operator") or environment.get("LB_OPERATOR")
--- a/arrowkeel/simhost.py
+++ b/arrowkeel/simhost.py
@@ -1,14 +1,15 @@
-"""The simulator's process: the drill on standard input and output."""
+"""Entry point for the simulator: runs the adapter on standard input, output and error."""
 
 from __future__ import annotations
 
 import sys
 
-from arrowkeel.drill import Drill
+from arrowkeel.drill import SimulatorAdapter
 
 
 def main() -> int:
-    return Drill(sys.stdout, sys.stderr).run(sys.stdin)
+    """Processes all input and returns the exit status."""
+    return SimulatorAdapter(sys.stdout, sys.stderr).run(sys.stdin)
 
 
 if __name__ == "__main__":
