--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -26,10 +26,13 @@
     Processor,
     R,
 )
-from arrowkeel.state import CallState, FirstTimes, GrowingGaps, Route, S
+from arrowkeel.state import NS_PER_S, CallState, ExponentialBackoff, FirstSeen, Route
 
 STATES = ("normal", "overload", "blocking")
-PACE_AIM_NS, PACE_LEAST = 3 * S // 2, 0.25  # the longest aim that spans are set for; the least they shrink to
+PACE_AIM_NS, PACE_LEAST = (
+    3 * NS_PER_S // 2,
+    0.25,
+)  # the longest aim that spans are set for; the least they shrink to
 CROWD = 9.0  # senders for which one call each (floor, tolerance, trial) is little; more of them share it
 WAIT_AT_H = 0.2  # share of the longest aim: a wait that counts as H; two processors and a retry still fit
 HOLD_BACK_AT_H, QUEUED_AT_H = 0.25, 10.0  # asked share to hold back, messages waiting, that count as H
@@ -38,13 +41,22 @@
 RESERVE_SHARE, DIRECT_RESERVE = 0.1, 2.0  # of a group, from transit and alternatives; from the least worthy
 WEIGHT_UP, WEIGHT_DOWN, WEIGHT_LEAST = 0.7, 0.3, 0.03  # of a tandem: success, turn-back, floor
 WEIGHT_UNTRIED, CANDIDATES = 0.1, 8  # far below a proven one; a draw looks at so many untried tandems
-TURN_BACK_BAR_NS, MOST_TANDEMS = S, 2  # rest after a turn-back, over the weight; tries cost two ends
+TURN_BACK_BAR_NS, MOST_TANDEMS = NS_PER_S, 2  # rest after a turn-back, over the weight; tries cost two ends
 ADVICE_SHARE = 1.0  # an advised tandem counts as much as this times all others looked at
-LOST_NS, LOST_BEHIND = S // 20, 2  # overtaken so long ago, and by so many more since: no answer is coming
-TICK_NS, STALL_NS = S // 40, S // 10  # held calls are looked at; a timer so late means that we stood still
+LOST_NS, LOST_BEHIND = (
+    NS_PER_S // 20,
+    2,
+)  # overtaken so long ago, and by so many more since: no answer is coming
+TICK_NS, STALL_NS = (
+    NS_PER_S // 40,
+    NS_PER_S // 10,
+)  # held calls are looked at; a timer so late means that we stood still
 HOLD_SHARE, SILENT_SHARE = 0.7, 0.6  # of the aim: a call may be held, the rest is for its set-up; silence
 COLD_CAUTION, COLD_LEAST = 0.6, 3.0  # part of the cold budget taken; a second by all that know nothing
-BUSY_GAP_NS, BUSY_GAP_MOST_NS = S, 8 * S  # gapping of a number whose lines were all busy; doubles
+BUSY_GAP_NS, BUSY_GAP_MOST_NS = (
+    NS_PER_S,
+    8 * NS_PER_S,
+)  # gapping of a number whose lines were all busy; doubles
 
 
 Far = Route[Processor]
@@ -69,8 +81,8 @@
         self.by_number: dict[int, Far] = {}
         self.calls, self.held = dict[str, Call](), dict[str, Call]()
         self.overtaken = dict[str, int]()  # set-ups that a later one has overtaken, and when
-        self.busy = GrowingGaps(BUSY_GAP_NS, BUSY_GAP_MOST_NS)
-        self.asked = FirstTimes(settings.longest_give_up_ns)
+        self.busy = ExponentialBackoff(BUSY_GAP_NS, BUSY_GAP_MOST_NS)
+        self.asked = FirstSeen(settings.longest_give_up_ns)
         self.numbers: list[int] = []
         self.turned_back = 0.0  # share of the latest tandem attempts, whatever their destination
         self.hot, self.asks = False, settings.may_probe and settings.reporting is it.Reporting.ON_PROBE
@@ -91,7 +103,7 @@
         if self.timer_at and now_ns - self.timer_at > STALL_NS:
             self.stalled_at = now_ns  # told by the own late timer from far ends that seem slow all at once
             for far in self.far.values():
-                far.cpu.pending.restart(now_ns)
+                far.processor.pending.reset_ages(now_ns)
         for place, event in enumerate(events, 1):
             self.came_at = self.seen_at + (now_ns - self.seen_at) * place // len(events)
             if handler := self.handlers.get(type(event)):
@@ -103,27 +115,33 @@
     def is_skipped(self, exchange: str) -> bool:
         """Whether a listed exchange gets no calls just now, but for trials; for operators to see."""
         far = self.far.get(exchange)
-        return far is None or not far.serving or far.cpu.silent or far.cpu.state == BLOCKING
+        return far is None or not far.is_serving or far.processor.silent or far.processor.state == BLOCKING
 
     def on_list(self, event: it.ExchangeList, now: int) -> None:
         if event.kind in (it.ListKind.COMPLETE, it.ListKind.REMEMBERED):
             for far in self.far.values():
-                far.serving = False  # what a complete list leaves out is gone
+                far.is_serving = False  # what a complete list leaves out is gone
         for entry in event.entries:
             new = Far(entry.exchange, entry.number, Processor(self.crowd, self.pace))
             far = self.far.setdefault(entry.exchange, new)
-            far.number, far.serving = entry.number, entry.listing is it.Listing.SERVING
-            for cpu in (far.cpu, self.own) if far.number == self.settings.own_number else (far.cpu,):
+            far.number, far.is_serving = entry.number, entry.listing is it.Listing.SERVING
+            for cpu in (
+                (far.processor, self.own) if far.number == self.settings.own_number else (far.processor,)
+            ):
                 if entry.started_ns > cpu.started:  # its bucket starts filled at random: nobody in step
                     cpu.begin_anew(entry.started_ns, now)
-                    cpu.bucket.fill(self.random.random() / (self.cold_rate(cpu, now) or S), now)
-            if far.serving or entry.number not in self.by_number:
+                    cpu.bucket.set_level(self.random.random() / (self.cold_rate(cpu, now) or NS_PER_S), now)
+            if far.is_serving or entry.number not in self.by_number:
                 old = self.by_number.get(entry.number)
                 if old is not None and old is not far:  # a replacement takes over the group and its weights
-                    far.free, far.size, far.weights = old.free, old.size, old.weights
-                    far.cpu.asked = old.cpu.asked
+                    far.circuits_free, far.circuits_total, far.tandem_weights = (
+                        old.circuits_free,
+                        old.circuits_total,
+                        old.tandem_weights,
+                    )
+                    far.processor.asked = old.processor.asked
                 self.by_number[entry.number] = far
-        self.far = {f.exchange: f for f in self.far.values() if f.serving or self.by_number[f.number] is f}
+        self.far = {f.exchange: f for f in self.far.values() if f.is_serving or self.by_number[f.number] is f}
         self.numbers = sorted(self.by_number.keys() - {self.settings.own_number})
 
     def read_report(self, exchange: str, report: it.Report | None, now: int) -> None:
@@ -131,16 +149,19 @@
         if far is None or report is None:
             return
         if report.free_circuits is not None:
-            far.free, far.size = report.free_circuits, report.group_size or far.size
+            far.circuits_free, far.circuits_total = (
+                report.free_circuits,
+                report.group_size or far.circuits_total,
+            )
         if report.accepted_per_s is not None:
-            far.cpu.fair = report.accepted_per_s / self.settings.agents
+            far.processor.fair = report.accepted_per_s / self.settings.agents
         scales = (  # each field in its own scale
             (report.wait_ns, self.wait_at_h),
             (report.hold_back_share, HOLD_BACK_AT_H),
             (report.queued, QUEUED_AT_H),
         )
         if scores := [value / at_h for value, at_h in scales if value is not None]:
-            cpu = self.own if far.number == self.settings.own_number else far.cpu
+            cpu = self.own if far.number == self.settings.own_number else far.processor
             cpu.told, cpu.told_at = max(scores), now
             self.watched[far.exchange] = far
 
@@ -148,11 +169,11 @@
         self.read_report(event.exchange, event.report, now)
         far = self.far.get(event.exchange)
         if far is not None and event.delay_ns and event.ending is it.Ending.COMPLETED:
-            far.cpu.hear(now)  # without a delay it is news of the own circuit group
+            far.processor.hear(now)  # without a delay it is news of the own circuit group
 
     def own_excess(self, now: int) -> float:
         """Delay that rises towards all far ends is the own processor's; a dead end's silence is not."""
-        live = (far.cpu for far in self.watched.values() if not far.cpu.silent)
+        live = (far.processor for far in self.watched.values() if not far.processor.silent)
         seen = [c.excess(now, self.floor) for c in live if c.pending or c.heard_at > now - c.valid_ns]
         return sorted(seen)[len(seen) // OWN_RANK] if len(seen) > 1 else 0.0
 
@@ -161,29 +182,33 @@
         excess = self.own_excess(now)
         told = self.own.told if self.own.told_at > now - self.own.valid_ns else 0.0
         own = max(excess / self.wait_at_h, told)
-        heard = own > 0 or any(f.cpu.pending or f.cpu.heard_at > now - S for f in self.watched.values())
+        heard = own > 0 or any(
+            f.processor.pending or f.processor.heard_at > now - NS_PER_S for f in self.watched.values()
+        )
         self.renew("own processor", self.own, own if heard else -1.0, now)
-        lately = [f.cpu for f in self.watched.values() if f.cpu.heard_at > now - f.cpu.valid_ns]
+        lately = [
+            f.processor for f in self.watched.values() if f.processor.heard_at > now - f.processor.valid_ns
+        ]
         self.hot = sum(c.state != NORMAL for c in lately) >= max(HOT_LEAST, HOT_SHARE * len(lately))
         for far in list(self.watched.values()):
-            cpu, span = far.cpu, far.cpu.validity(now)
+            cpu, span = far.processor, far.processor.validity(now)
             pressure = max(0.0, cpu.excess(now, self.floor) - excess) / self.wait_at_h
             pressure = max(pressure, cpu.told if cpu.told_at > now - span else 0.0)
-            oldest = cpu.pending.oldest(now)
+            oldest = cpu.pending.oldest_sent_at_ns(now)
             quiet = now - max(oldest, cpu.heard_at) > SILENT_SHARE * self.settings.shortest_aim_ns
             if quiet and not cpu.silent and len(cpu.pending) + cpu.missed > 1 and own < H:
                 cpu.miss(now, self.spread())
             heard = len(cpu.pending) > 0 or pressure > 0 or cpu.heard_at > now - cpu.valid_ns
             self.renew(f"exchange {far.number}", cpu, pressure if heard else -1.0, now)
-            if far.serving and (cpu.silent or cpu.state != NORMAL or now - oldest > self.wait_at_h / 2):
+            if far.is_serving and (cpu.silent or cpu.state != NORMAL or now - oldest > self.wait_at_h / 2):
                 self.probe(far, self.far_probe_gap, now)
             elif not heard and cpu.state == NORMAL:  # what left the list lapses too, or it comes back blocked
                 del self.watched[far.exchange]
 
     def probe(self, far: Far | None, gap: int, now: int) -> None:
-        if far is not None and far.serving and self.asks and now >= far.probe_at:
+        if far is not None and far.is_serving and self.asks and now >= far.next_probe_at_ns:
             self.out.append(it.Probe(far.exchange))
-            far.probe_at = now + int(gap * self.spread())
+            far.next_probe_at_ns = now + int(gap * self.spread())
 
     def renew(self, name: str, cpu: Processor, pressure: float, now: int) -> None:
         before = cpu.state
@@ -195,19 +220,21 @@
 
     def on_call(self, event: it.CallOffered, now: int) -> None:
         came, known = self.came_at, event.number_called and not event.transit
-        first = self.asked.of(event.number_called, now, came) if known else came  # redials: the first aim
+        first = (
+            self.asked.get_or_record(event.number_called, now, came) if known else came
+        )  # redials: the first aim
         kind, start = self.settings.class_named(event.class_name), came if event.was_cut else first
         aim_at, ends = start + kind.aim_ns, now + max(0, event.patience_ns)
         dest = self.by_number.get(event.destination)
         if first == came:  # no redial
             self.own.asked.add(came)
             if dest is not None and not event.transit:
-                dest.cpu.asked.add(came)
+                dest.processor.asked.add(came)
         late = now >= aim_at or (first == came and event.redial and not event.was_cut)
         worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.most_worth
         hold_until = min(aim_at - int(kind.aim_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
         call = self.calls[event.call] = Call(event, aim_at, ends, now, hold_until, worth, kind.pools)
-        if not event.transit and self.busy.shut(event.number_called, now):
+        if not event.transit and self.busy.is_blocked(event.number_called, now):
             # A busy number is gapped by itself: its exchange is not curbed.
             self.refuse(call, it.RefusalReason.NUMBER_GAPPED)
         else:
@@ -226,14 +253,14 @@
     def refusal_reason(self, call: Call, now: int) -> it.RefusalReason:
         """What stood in the way of a call that is neither sent nor held; for logs and metrics."""
         dest, tau = self.by_number.get(call.event.destination), self.tau(call)
-        if dest is None or not dest.serving or dest.number == self.settings.own_number:
+        if dest is None or not dest.is_serving or dest.number == self.settings.own_number:
             return it.RefusalReason.NO_ROUTE
         if call.attempts >= self.settings.attempt_limit:
             return it.RefusalReason.ATTEMPTS_USED
         if self.own.opens_at(now, tau) > now:
             return it.RefusalReason.OWN_PROCESSOR
-        if dest.cpu.opens_at(now, tau) > now:
-            silent = dest.cpu.silent
+        if dest.processor.opens_at(now, tau) > now:
+            silent = dest.processor.silent
             return it.RefusalReason.FAR_SILENT if silent else it.RefusalReason.FAR_PROCESSOR
         if not self.room(dest, call, 0.0):
             return it.RefusalReason.NO_CIRCUIT
@@ -245,18 +272,27 @@
         Against calls that sit out their time before a shut gate, a gone exchange or a far trial, whatever the
         cause. It can do harm where a gate opens sooner than is known: that call has been refused in vain.
         """
-        dest, by = self.by_number.get(call.event.destination), min(call.hold_until, call.ends)
+        dest, by = (
+            self.by_number.get(call.event.destination),
+            min(call.queueing_ends_at_ns, call.patience_ends_at_ns),
+        )
         if call.event.transit or call.attempts >= self.settings.attempt_limit:
             return False
-        if max(now, call.not_before) >= by or dest is None or dest.number == self.settings.own_number:
+        if (
+            max(now, call.earliest_attempt_at_ns) >= by
+            or dest is None
+            or dest.number == self.settings.own_number
+        ):
             return False
         if self.only_late(call, dest, now):
             return False
-        gates = (self.own, dest.cpu) if self.settings.is_mesh else (self.own,)
+        gates = (self.own, dest.processor) if self.settings.is_mesh else (self.own,)
         if any(self.shut_until(cpu, now, self.tau(call)) >= by for cpu in gates):
             return False
-        turns = len(call.tried) < MOST_TANDEMS
-        return (dest.serving and dest.size > 0) or (turns and (dest.serving or not self.settings.is_mesh))
+        turns = len(call.tried_tandems) < MOST_TANDEMS
+        return (dest.is_serving and dest.circuits_total > 0) or (
+            turns and (dest.is_serving or not self.settings.is_mesh)
+        )
 
     def shut_until(self, cpu: Processor, now: int, tau: float) -> int:
         """A report or the answer to a call that is out can open a blocking gate at any time."""
@@ -264,51 +300,65 @@
         return now if news and not cpu.silent else cpu.opens_at(now, tau)
 
     def pressed(self, dest: Far) -> bool:
-        return self.own.state != NORMAL or (self.settings.is_mesh and dest.cpu.state != NORMAL)
+        return self.own.state != NORMAL or (self.settings.is_mesh and dest.processor.state != NORMAL)
 
     def only_late(self, call: Call, dest: Far, now: int) -> bool:
         """By the last delay known the call can only stand late: not worth the work of what is pressed."""
-        return self.pressed(dest) and now + dest.cpu.delay > call.aim_at
+        return self.pressed(dest) and now + dest.processor.delay > call.target_at_ns
 
     def tau(self, call: Call) -> float:
         return TAU_BASE + TAU_WORTH * call.worth
 
     def choose(self, call: Call, now: int) -> Far | None:
-        if now < call.not_before or call.attempts >= self.settings.attempt_limit or now >= call.ends:
+        if (
+            now < call.earliest_attempt_at_ns
+            or call.attempts >= self.settings.attempt_limit
+            or now >= call.patience_ends_at_ns
+        ):
             return None
         event, dest = call.event, self.by_number.get(call.event.destination)
         tau, mesh = self.tau(call), self.settings.is_mesh
         if dest is None or dest.number == self.settings.own_number or not self.ready(self.own, now, tau):
             return None
-        usable = dest.serving and self.ready(dest.cpu, now, tau)
+        usable = dest.is_serving and self.ready(dest.processor, now, tau)
         pressed = self.pressed(dest)
         if (mesh and not usable) or self.only_late(call, dest, now):
             return None  # no tandem helps a destination that is pressed; nor does what stands late anyway
-        direct = min(RESERVE_SHARE * dest.size, DIRECT_RESERVE) * (1.0 - call.worth)
+        direct = min(RESERVE_SHARE * dest.circuits_total, DIRECT_RESERVE) * (1.0 - call.worth)
         if usable and self.room(dest, call, self.reserve(dest) if event.transit else direct):
             return dest
-        may_turn = not (pressed or event.transit or self.hot) and len(call.tried) < MOST_TANDEMS
+        may_turn = not (pressed or event.transit or self.hot) and len(call.tried_tandems) < MOST_TANDEMS
         return self.draw_tandem(call, dest, now) if may_turn else None
 
     def room(self, far: Far, call: Call, kept: float) -> bool:
-        return far.free is None or far.free - call.event.width >= int(kept)
+        return far.circuits_free is None or far.circuits_free - call.event.width >= int(kept)
 
     def reserve(self, far: Far) -> float:
-        return max(1.0, RESERVE_SHARE * far.size)
+        return max(1.0, RESERVE_SHARE * far.circuits_total)
 
     def draw_tandem(self, call: Call, dest: Far, now: int) -> Far | None:
         pool = self.numbers if self.settings.is_mesh else call.pools
         advised, few = call.event.from_or_advised, self.random.random() < self.turned_back  # the mesh is full
         looked_at = [] if few else self.random.sample(pool, min(len(pool), CANDIDATES))
         options: list[tuple[Far, float]] = []
-        for number in dict.fromkeys([*dest.weights, *looked_at, *([advised] if advised in pool else [])]):
+        for number in dict.fromkeys(
+            [*dest.tandem_weights, *looked_at, *([advised] if advised in pool else [])]
+        ):
             far = self.by_number.get(number)
-            if far is None or not far.serving or not far.free or far.cpu.state != NORMAL or far is dest:
+            if (
+                far is None
+                or not far.is_serving
+                or not far.circuits_free
+                or far.processor.state != NORMAL
+                or far is dest
+            ):
                 continue
-            rests = number in call.tried or dest.barred.get(number, 0) > now
+            rests = number in call.tried_tandems or dest.tandem_barred_until_ns.get(number, 0) > now
             kept = self.reserve(far) * (2.0 - call.worth)  # a call of little worth is not worth two groups
-            if not rests and self.room(far, call, kept) and self.ready(far.cpu, now, 0.0):
-                weight = dest.weights.get(number, WEIGHT_UNTRIED) * (far.free - self.reserve(far) + 1.0)
+            if not rests and self.room(far, call, kept) and self.ready(far.processor, now, 0.0):
+                weight = dest.tandem_weights.get(number, WEIGHT_UNTRIED) * (
+                    far.circuits_free - self.reserve(far) + 1.0
+                )
                 options.append((far, weight))
         extra = ADVICE_SHARE * sum(weight for _, weight in options)
         weights = [weight + extra * (far.number == advised) for far, weight in options]
@@ -327,21 +377,23 @@
         agents = 1 if cpu is self.own else self.settings.agents
         # What callers asked of it, not what is sent: in distress that is little and starves what returns,
         # whatever the distress was; nor a mean of all pairs. Harm: calls of a flood count as usual ones.
-        usual = cpu.asked.count(now) * S / max(RATE_SPAN_NS, min(ASKED_SPAN_NS, now - self.began_at))
+        usual = cpu.asked.count(now) * NS_PER_S / max(RATE_SPAN_NS, min(ASKED_SPAN_NS, now - self.began_at))
         return max(COLD_LEAST / agents, share * self.settings.cold_multiple * COLD_CAUTION * usual)
 
     def send(self, call: Call, far: Far, now: int) -> None:
         self.held.pop(call.id, None)
-        call.out, call.attempts = far, call.attempts + 1
+        call.current_route, call.attempts = far, call.attempts + 1
         if far.number != call.event.destination:
-            call.tried.add(far.number)
-        far.free = None if far.free is None else max(0, far.free - call.event.width)
-        far.cpu.take(now)
-        far.cpu.pending.sent[call.id] = now
+            call.tried_tandems.add(far.number)
+        far.circuits_free = (
+            None if far.circuits_free is None else max(0, far.circuits_free - call.event.width)
+        )
+        far.processor.take(now)
+        far.processor.pending.send_times_ns[call.id] = now
         self.watched[far.exchange] = far
-        if far.cpu.silent:  # the next trial does not wait for this one's caller to tire
-            far.cpu.miss(now, self.spread())
-        elif far.cpu.sent.count(now, far.cpu.valid_ns) > 1:
+        if far.processor.silent:  # the next trial does not wait for this one's caller to tire
+            far.processor.miss(now, self.spread())
+        elif far.processor.sent.count(now, far.processor.valid_ns) > 1:
             self.probe(far, self.far_probe_gap, now)
         self.own.take(now)
         self.out.append(it.SetUp(call.id, far.exchange))  # abandoned when the caller's patience ends
@@ -352,7 +404,7 @@
         After faults of the signalling at a processor that is not pressed there is nobody to make room for.
         """
         dest, longest = self.by_number.get(call.event.destination), self.settings.longest_advice_ns
-        soon = call.faulted and dest is not None and not self.pressed(dest)
+        soon = call.had_signalling_fault and dest is not None and not self.pressed(dest)
         after = min(self.settings.release_ns, longest) if soon else longest
         advise = self.settings.may_advise_redial and not call.event.transit
         self.forget(call.id, it.Refuse(call.id, after if advise else 0, reason))
@@ -361,76 +413,84 @@
         self.out.extend(answer)
         self.held.pop(call_id, None)
         call = self.calls.pop(call_id, None)
-        if call is not None and call.out is not None:
-            call.out.cpu.pending.drop(call_id)
+        if call is not None and call.current_route is not None:
+            call.current_route.processor.pending.remove(call_id)
 
     def on_established(self, event: it.CallEstablished, now: int) -> None:
         call = self.calls.get(event.call)
-        if call is None or call.out is None or call.out.exchange != event.exchange:
+        if call is None or call.current_route is None or call.current_route.exchange != event.exchange:
             return
-        far, dest = call.out, self.by_number.get(call.event.destination, call.out)
+        far, dest = call.current_route, self.by_number.get(call.event.destination, call.current_route)
         if far is dest:  # what it has overtaken is lost, not slow
-            self.overtaken.update((lost, now) for lost in far.cpu.pending.overtaken_by(call.id))
+            self.overtaken.update(
+                (lost, now) for lost in far.processor.pending.remove_with_overtaken(call.id)
+            )
         self.forget(call.id)
-        far.cpu.done.add(now)
+        far.processor.done.add(now)
         self.own.done.add(now)
         if far is dest and now - event.delay_ns > self.stalled_at:
             self.floor = min(self.floor, event.delay_ns)
-            far.cpu.learn_delay(event.delay_ns, now)
+            far.processor.learn_delay(event.delay_ns, now)
         elif far is not dest:
             self.weigh(dest, far, now, stood=True)
-        far.cpu.hear(now)
+        far.processor.hear(now)
 
     def weigh(self, dest: Far, tandem: Far, now: int, stood: bool) -> None:
-        weight = dest.weights.get(tandem.number, WEIGHT_UNTRIED)
+        weight = dest.tandem_weights.get(tandem.number, WEIGHT_UNTRIED)
         self.turned_back += (float(not stood) - self.turned_back) * TURNED_SMOOTHING
         if stood:
-            dest.weights[tandem.number] = weight + (1.0 - weight) * WEIGHT_UP
+            dest.tandem_weights[tandem.number] = weight + (1.0 - weight) * WEIGHT_UP
         else:
-            weight = dest.weights[tandem.number] = max(WEIGHT_LEAST, weight * WEIGHT_DOWN)
-            dest.barred[tandem.number] = now + int(TURN_BACK_BAR_NS / weight)
+            weight = dest.tandem_weights[tandem.number] = max(WEIGHT_LEAST, weight * WEIGHT_DOWN)
+            dest.tandem_barred_until_ns[tandem.number] = now + int(TURN_BACK_BAR_NS / weight)
 
     def on_ended(self, event: it.AttemptEnded, now: int) -> None:
         self.read_report(event.exchange, event.report, now)
         call = self.calls.get(event.call)
-        if call is None or call.out is None or event.attempt != call.attempts - 1:
+        if call is None or call.current_route is None or event.attempt != call.attempts - 1:
             return
-        sent_to, call.out = call.out, None
+        sent_to, call.current_route = call.current_route, None
         self.overtaken.pop(call.id, None)
-        sent_to.cpu.pending.drop(call.id)
+        sent_to.processor.pending.remove(call.id)
         self.learn_ending(call, sent_to, event, now)
         if event.call_over:
             self.forget(call.id)
-        elif event.ending is it.Ending.COMPLETED or event.cause is it.Cause.LINES_BUSY or now >= call.ends:
+        elif (
+            event.ending is it.Ending.COMPLETED
+            or event.cause is it.Cause.LINES_BUSY
+            or now >= call.patience_ends_at_ns
+        ):
             self.forget(call.id, it.Fail(call.id))  # another error is a signalling fault: it goes again
         else:
             if event.ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-                call.not_before = now + self.settings.release_ns  # rule 5: the release is awaited
+                call.earliest_attempt_at_ns = now + self.settings.release_ns  # rule 5: the release is awaited
             self.decide(call, now)
 
     def learn_ending(self, call: Call, far: Far, event: it.AttemptEnded, now: int) -> None:
-        dest, cpu = self.by_number.get(call.event.destination, far), far.cpu
+        dest, cpu = self.by_number.get(call.event.destination, far), far.processor
         if event.ending in (it.Ending.NO_ANSWER, it.Ending.NO_CONNECTION):
             cpu.missed += 1
             unheard = cpu.missed > 1 and cpu.heard_at < now - cpu.valid_ns // 2
             if unheard or event.ending is it.Ending.NO_CONNECTION:
                 cpu.miss(now, self.spread())
         elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.PROCESSOR_FULL:
-            call.not_before = now + TRIAL_GAP_NS  # the own processor is down
+            call.earliest_attempt_at_ns = now + TRIAL_GAP_NS  # the own processor is down
         elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.NO_CIRCUIT:
-            far.free = 0  # not where it came too late or the exchange drains: the group has not changed
+            far.circuits_free = (
+                0  # not where it came too late or the exchange drains: the group has not changed
+            )
         elif event.ending is it.Ending.NUMBER_BUSY:
             cpu.hear(now)
             if event.cause is it.Cause.LINES_BUSY:
-                self.busy.shut_again(call.event.number_called, now, self.spread())
+                self.busy.block(call.event.number_called, now, self.spread())
             else:
-                call.faulted = True
+                call.had_signalling_fault = True
                 if far is not dest:
                     self.weigh(dest, far, now, stood=False)
         elif event.ending is it.Ending.TURNED_AWAY:
             cpu.hear(now)
             if event.cause in (it.Cause.PROCESSOR_FULL, it.Cause.BEYOND_FULL):
-                full = cpu if event.cause is it.Cause.PROCESSOR_FULL else dest.cpu
+                full = cpu if event.cause is it.Cause.PROCESSOR_FULL else dest.processor
                 full.told, full.told_at = R, now  # its wait is beyond any aim: no set-up until it has drained
                 self.watched.update({far.exchange: far, dest.exchange: dest})
             if far is not dest:
@@ -443,11 +503,20 @@
         """
         for call_id, at in list(self.overtaken.items()):
             call = self.calls.get(call_id)
-            if call is None or call.out is None or call.out.number != call.event.destination:
+            if (
+                call is None
+                or call.current_route is None
+                or call.current_route.number != call.event.destination
+            ):
                 del self.overtaken[call_id]  # behind a tandem there is another queue
-            elif not self.pressed(call.out) and self.is_lost(call.out.cpu, now - at, now):
+            elif not self.pressed(call.current_route) and self.is_lost(
+                call.current_route.processor, now - at, now
+            ):
                 del self.overtaken[call_id]
-                again = now + self.settings.release_ns + int(max(0.0, call.out.cpu.delay)) < call.ends
+                again = (
+                    now + self.settings.release_ns + int(max(0.0, call.current_route.processor.delay))
+                    < call.patience_ends_at_ns
+                )
                 if again and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
                     self.out.append(it.CancelAttempt(call.id, call.attempts - 1))
 
@@ -468,7 +537,7 @@
             self.out.append(it.FollowList())
         self.judge(now)
         self.call_off_lost(now)
-        for call in sorted(self.held.values(), key=lambda c: (-c.worth, c.hold_until)):
+        for call in sorted(self.held.values(), key=lambda c: (-c.worth, c.queueing_ends_at_ns)):
             del self.held[call.id]
             self.decide(call, now)
         self.probe(self.by_number.get(self.settings.own_number), PROBE_GAP_NS // 2, now)
--- a/arrowkeel/state.py
+++ b/arrowkeel/state.py
@@ -1,4 +1,8 @@
-"""Plain state that the decisions are made on: moments, buckets, first sightings. No decision is made here."""
+"""Data structures behind the call control decisions: time windows, a leaky bucket, routes and calls.
+
+They store and count; no decision is made here. Every moment is in integer nanoseconds of one monotonic clock,
+and the caller passes the present moment as `now_ns`.
+"""
 
 from __future__ import annotations
 
@@ -9,142 +13,179 @@
 
 from arrowkeel import interface as it
 
-S = 1_000_000_000
-C = TypeVar("C")
+NS_PER_S = 1_000_000_000
+ProcessorT = TypeVar("ProcessorT")
 
 
-class Times:
-    """Moments within the last `span_ns`, to be counted over all of it or over a shorter span."""
+class SlidingWindow:
+    """Counts events within the last `span_ns`, or within a shorter span that ends now."""
 
     def __init__(self, span_ns: int) -> None:
         self.span_ns = span_ns
-        self.moments: deque[int] = deque()
-        self.first: int | None = None
-
-    def add(self, now: int) -> None:
-        self.first = now if self.first is None else self.first
-        self.moments.append(now)
-        self.count(now)  # forgets here too: on calm days nobody asks, and a long day would fill the memory
-
-    def rate(self, now: int) -> float:
-        """Moments a second over the span, or since the first one if that is not so long ago."""
-        known = self.span_ns if self.first is None else min(self.span_ns, max(S, now - self.first))
-        return self.count(now) * S / known
-
-    def count(self, now: int, span_ns: int | None = None) -> int:
-        while self.moments and self.moments[0] <= now - self.span_ns:
-            self.moments.popleft()
+        self.times_ns: deque[int] = deque()
+        self.first_at_ns: int | None = None
+
+    def add(self, now_ns: int) -> None:
+        """Records one event that happens now."""
+        self.first_at_ns = now_ns if self.first_at_ns is None else self.first_at_ns
+        self.times_ns.append(now_ns)
+        # Expired events are dropped here as well as in count(): under light load nobody counts, and the
+        # window would grow without limit during a long day.
+        self.count(now_ns)
+
+    def rate_per_s(self, now_ns: int) -> float:
+        """Events per second, averaged over the span, or over the time since the first event if shorter.
+
+        The average is never taken over less than one second.
+        """
+        observed_ns = (
+            self.span_ns
+            if self.first_at_ns is None
+            else min(self.span_ns, max(NS_PER_S, now_ns - self.first_at_ns))
+        )
+        return self.count(now_ns) * NS_PER_S / observed_ns
+
+    def count(self, now_ns: int, span_ns: int | None = None) -> int:
+        """Number of events within the last `span_ns`; within the whole window if it is None or longer."""
+        while self.times_ns and self.times_ns[0] <= now_ns - self.span_ns:
+            self.times_ns.popleft()
         if span_ns is None or span_ns >= self.span_ns:
-            return len(self.moments)
-        return sum(1 for _ in takewhile(lambda at: at > now - span_ns, reversed(self.moments)))
+            return len(self.times_ns)
+        return sum(1 for _ in takewhile(lambda at_ns: at_ns > now_ns - span_ns, reversed(self.times_ns)))
 
 
-class Bucket:
-    """A leaky bucket whose content drains by one unit a second."""
+class LeakyBucket:
+    """A leaky bucket whose level drains by one unit per second, so that the level is a time in seconds."""
 
     def __init__(self) -> None:
-        self.level, self.at = 0.0, 0
+        self.stored_level, self.stored_at_ns = 0.0, 0
 
-    def content(self, now: int) -> float:
-        return max(0.0, self.level - (now - self.at) / S)
+    def level(self, now_ns: int) -> float:
+        """The level now, in seconds that it takes to drain."""
+        return max(0.0, self.stored_level - (now_ns - self.stored_at_ns) / NS_PER_S)
 
-    def fill(self, level: float, now: int) -> None:
-        self.level, self.at = level, now
+    def set_level(self, level: float, now_ns: int) -> None:
+        """Replaces the level, given in seconds."""
+        self.stored_level, self.stored_at_ns = level, now_ns
 
-    def add(self, amount: float, now: int) -> None:
-        self.fill(self.content(now) + amount, now)
+    def add(self, amount: float, now_ns: int) -> None:
+        """Raises the level by `amount` seconds."""
+        self.set_level(self.level(now_ns) + amount, now_ns)
 
 
-class Outstanding:
-    """Set-ups out towards one processor, in the order of their sending."""
+class PendingSetUps:
+    """Set-ups that were sent to one processor and have no final response yet, in the order of sending."""
 
     def __init__(self) -> None:
-        self.sent: dict[str, int] = {}
+        self.send_times_ns: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self.sent)
+        return len(self.send_times_ns)
 
-    def oldest(self, now: int, skipped: int = 0) -> int:
-        """When the oldest was sent, or the next one where some are skipped; `now` if there is none."""
-        return next(islice(self.sent.values(), skipped, None), now)
+    def oldest_sent_at_ns(self, now_ns: int, skipped: int = 0) -> int:
+        """When the oldest set-up was sent, leaving out the `skipped` oldest; `now_ns` if none is left."""
+        return next(islice(self.send_times_ns.values(), skipped, None), now_ns)
 
-    def drop(self, call: str) -> None:
-        self.sent.pop(call, None)
+    def remove(self, call: str) -> None:
+        """Removes the set-up of that call; does nothing if there is none."""
+        self.send_times_ns.pop(call, None)
 
-    def overtaken_by(self, call: str) -> list[str]:
-        """Drops that call and all that were sent before it; the latter are what it has overtaken."""
-        if (sent_at := self.sent.get(call)) is None:
+    def remove_with_overtaken(self, call: str) -> list[str]:
+        """Removes that call and all that were sent before it; returns the latter, which it has overtaken."""
+        if (sent_at_ns := self.send_times_ns.get(call)) is None:
             return []
-        overtaken = [other for other, at in self.sent.items() if at < sent_at]
+        overtaken = [other for other, other_at_ns in self.send_times_ns.items() if other_at_ns < sent_at_ns]
         for other in (call, *overtaken):
-            del self.sent[other]
+            del self.send_times_ns[other]
         return overtaken
 
-    def restart(self, now: int) -> None:
-        """Counts all as sent just now."""
-        self.sent = dict.fromkeys(self.sent, now)
+    def reset_ages(self, now_ns: int) -> None:
+        """Treats all pending set-ups as sent just now."""
+        self.send_times_ns = dict.fromkeys(self.send_times_ns, now_ns)
 
 
-class FirstTimes:
-    """When a key was first met, as long as that is no further back than `span_ns`."""
+class FirstSeen:
+    """Remembers when a key was first seen, for `span_ns` after that moment."""
 
     def __init__(self, span_ns: int) -> None:
         self.span_ns = span_ns
-        self.met: dict[str, int] = {}
+        self.first_times_ns: dict[str, int] = {}
+
+    def get_or_record(self, key: str, now_ns: int, seen_at_ns: int) -> int:
+        """When the key was first seen; a key that is not remembered is recorded as seen at `seen_at_ns`."""
+        while self.first_times_ns and now_ns - next(iter(self.first_times_ns.values())) > self.span_ns:
+            del self.first_times_ns[next(iter(self.first_times_ns))]
+        return self.first_times_ns.setdefault(key, seen_at_ns)
 
-    def of(self, key: str, now: int, then: int) -> int:
-        while self.met and now - next(iter(self.met.values())) > self.span_ns:
-            del self.met[next(iter(self.met))]
-        return self.met.setdefault(key, then)
 
+class ExponentialBackoff:
+    """Blocks keys for a gap that doubles with each block, from `initial_ns` up to `max_ns`."""
 
-class GrowingGaps:
-    """Keys that are left alone for a while, for twice as long each time, up to a longest gap."""
+    def __init__(self, initial_ns: int, max_ns: int) -> None:
+        self.initial_ns, self.max_ns = initial_ns, max_ns
+        # By key: the end of the gap, and its length before it was spread at random.
+        self.gaps: dict[str, tuple[int, int]] = {}
 
-    def __init__(self, first_ns: int, most_ns: int) -> None:
-        self.first_ns, self.most_ns = first_ns, most_ns
-        self.until: dict[str, tuple[int, int]] = {}
+    def is_blocked(self, key: str, now_ns: int) -> bool:
+        """Whether the gap of that key has not ended yet."""
+        return key in self.gaps and self.gaps[key][0] > now_ns
 
-    def shut(self, key: str, now: int) -> bool:
-        return key in self.until and self.until[key][0] > now
+    def block(self, key: str, now_ns: int, spread: float) -> None:
+        """Starts the next gap of that key, `spread` times as long as its turn gives.
 
-    def shut_again(self, key: str, now: int, spread: float) -> None:
-        gap = min(2 * self.until[key][1], self.most_ns) if key in self.until else self.first_ns
-        self.until = {k: held for k, held in self.until.items() if held[0] > now - self.most_ns}
-        self.until[key] = (now + int(gap * spread), gap)
+        Also drops every other key whose gap ended `max_ns` ago or earlier.
+        """
+        gap_ns = min(2 * self.gaps[key][1], self.max_ns) if key in self.gaps else self.initial_ns
+        self.gaps = {other: gap for other, gap in self.gaps.items() if gap[0] > now_ns - self.max_ns}
+        self.gaps[key] = (now_ns + int(gap_ns * spread), gap_ns)
 
 
 @dataclass(slots=True)
-class Route(Generic[C]):
-    """One exchange as listed, with the own circuit group towards it and the entry of its processor."""
+class Route(Generic[ProcessorT]):
+    """One listed exchange, the direct circuit group towards it and the overload state of its processor.
+
+    `circuits_free` is None until the group has been reported; `circuits_total` is 0 until then. The last two
+    attributes have the number of a tandem exchange as key: how well it has lately served as a tandem towards
+    this exchange (0 to 1), and until when it is not used as one.
+    """
 
     exchange: str
     number: int
-    cpu: C
-    serving: bool = False
-    free: int | None = None
-    size: int = 0
-    probe_at: int = 0
-    weights: dict[int, float] = field(default_factory=dict)
-    barred: dict[int, int] = field(default_factory=dict)
+    processor: ProcessorT
+    is_serving: bool = False
+    circuits_free: int | None = None
+    circuits_total: int = 0
+    next_probe_at_ns: int = 0
+    tandem_weights: dict[int, float] = field(default_factory=dict)
+    tandem_barred_until_ns: dict[int, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class CallState(Generic[C]):
-    """A call that this agent has taken and not yet answered finally."""
+class CallState(Generic[ProcessorT]):
+    """A call that this controller has accepted and not yet answered finally.
+
+    `target_at_ns` is the latest moment at which an answered set-up still counts as on time, and
+    `patience_ends_at_ns` the moment at which the caller gives up. No attempt starts before
+    `earliest_attempt_at_ns`, and the call waits in the queue until `queueing_ends_at_ns` at the latest.
+    `worth` is relative to the worthiest class of call (0 to 1); `pools` are the numbers of the exchanges that
+    may serve its class where the exchanges form no mesh. `had_signalling_fault` is set once an attempt ended
+    in an error of the signalling. `current_route` is where the attempt in progress went, None if there is
+    none, and `tried_tandems` holds the numbers of the tandem exchanges that the call was sent to.
+    """
 
     event: it.CallOffered
-    aim_at: int
-    ends: int
-    not_before: int
-    hold_until: int
+    target_at_ns: int
+    patience_ends_at_ns: int
+    earliest_attempt_at_ns: int
+    queueing_ends_at_ns: int
     worth: float
     pools: tuple[int, ...]
     attempts: int = 0
-    faulted: bool = False
-    out: Route[C] | None = None
-    tried: set[int] = field(default_factory=set)
+    had_signalling_fault: bool = False
+    current_route: Route[ProcessorT] | None = None
+    tried_tandems: set[int] = field(default_factory=set)
 
     @property
     def id(self) -> str:
+        """The identifier that the interface gives the call."""
         return self.event.call
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from arrowkeel import interface as it
-from arrowkeel.state import Times
+from arrowkeel.state import SlidingWindow
 from tests.conftest import MS, SETTINGS, PolicyDriver, S, answers, sent
 
 
@@ -204,7 +204,7 @@
 
 def test_a_call_whose_next_try_would_come_too_late_is_answered_at_once() -> None:
     driver = PolicyDriver()
-    driver.policy.far["x2"].cpu.miss(driver.now, 1.25)  # silent, its next trial is over a second away
+    driver.policy.far["x2"].processor.miss(driver.now, 1.25)  # silent, its next trial is over a second away
     call, actions = driver.offer(2)
     assert refused_at_once(actions, call)
     call, _ = driver.offer(1)
@@ -215,7 +215,7 @@
 
 def test_a_call_without_a_group_and_with_both_tandems_tried_is_answered_at_once() -> None:
     driver = PolicyDriver()
-    driver.policy.far["x2"].free = driver.policy.far["x2"].size = 0
+    driver.policy.far["x2"].circuits_free = driver.policy.far["x2"].circuits_total = 0
     call, actions = driver.offer(2)
     for attempt in range(2):
         assert not answers(actions)
@@ -233,7 +233,7 @@
 
 def test_a_call_is_not_held_before_a_gate_that_opens_after_its_time() -> None:
     driver = PolicyDriver()
-    cpu = driver.policy.far["x2"].cpu
+    cpu = driver.policy.far["x2"].processor
     first, _ = driver.offer(2)
     driver.end(first, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(first))
@@ -246,7 +246,7 @@
 def test_what_can_only_stand_late_is_answered_at_once_while_something_is_pressed() -> None:
     """Incident i334348: a thousand calls were held as late at a time, then refused."""
     driver = PolicyDriver()
-    own, cpu = driver.policy.own, driver.policy.far["x2"].cpu
+    own, cpu = driver.policy.own, driver.policy.far["x2"].processor
     own.state, own.valid_until, own.rate = 1, driver.now + 60 * S, 100.0  # in overload
     cpu.delay, cpu.measured_at = 1600.0 * MS, driver.now
     call, actions = driver.offer(2)
@@ -263,8 +263,11 @@
         if sent(actions):
             driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
         driver.wait(50)
-    cpu = driver.policy.far["x2"].cpu
-    assert cpu.sent.rate(driver.now) < cpu.asked.rate(driver.now) / 5 and cpu.validity(driver.now) == 2 * S
+    cpu = driver.policy.far["x2"].processor
+    assert (
+        cpu.sent.rate_per_s(driver.now) < cpu.asked.rate_per_s(driver.now) / 5
+        and cpu.validity(driver.now) == 2 * S
+    )
 
 
 def test_spans_shrink_with_the_aims() -> None:
@@ -278,7 +281,7 @@
             driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
             driver.tell(it.CallerLeft(call))
         driver.wait(25)
-        left.append(driver.policy.far["x2"].cpu.valid_until - driver.now)
+        left.append(driver.policy.far["x2"].processor.valid_until - driver.now)
     assert 2 * left[1] < left[0] and left[1] > 0
 
 
@@ -359,10 +362,10 @@
 
 def test_moments_are_forgotten_also_when_nobody_counts_them() -> None:
     """A long calm day would else fill the memory with the times of calls that stood."""
-    times = Times(10 * S)
+    times = SlidingWindow(10 * S)
     for second in range(100):
         times.add(second * S)
-    assert len(times.moments) <= 10
+    assert len(times.times_ns) <= 10
 
 
 def test_the_own_processor_is_trusted_again_soon_after_it_hung() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -150,7 +150,7 @@
         driver.wait(1000, step_ms=500)
     policy = driver.policy
     assert len(policy.far) < 10 and len(policy.watched) < 10
-    assert len(policy.busy.until) < 30 and len(policy.asked.met) < 30
+    assert len(policy.busy.gaps) < 30 and len(policy.asked.first_times_ns) < 30
 
 
 def test_the_more_tandems_turn_back_the_fewer_untried_ones_are_asked() -> None:
@@ -199,7 +199,7 @@
     driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
-    driver.policy.far["x3"].cpu.miss(driver.now, 1.0)
+    driver.policy.far["x3"].processor.miss(driver.now, 1.0)
     gone = tuple(it.ListedExchange(f"x{number}", number, it.Listing.GONE) for number in (2, 3))
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, gone))
     driver.wait(500)
@@ -261,7 +261,7 @@
         driver.tell(
             it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x99", 2, started_ns=driver.now),))
         )
-        rates.append(driver.policy.cold_rate(driver.policy.by_number[2].cpu, driver.now))
+        rates.append(driver.policy.cold_rate(driver.policy.by_number[2].processor, driver.now))
     assert rates[1] == pytest.approx(9 * rates[0]), "also for a machine that takes the place of the old one"
 
 
@@ -274,7 +274,7 @@
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
         driver.tell(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
-        driver.policy.far["x2"].cpu.miss(driver.now, 1.0)
+        driver.policy.far["x2"].processor.miss(driver.now, 1.0)
         driver.offer(2), driver.offer(2)
         driver.policy.watched["x2"] = driver.policy.far["x2"]
         for _ in range(400):
