--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -1,7 +1,7 @@
 """Which way a call goes, whether it waits or is refused; settings, events, actions: arrowkeel/interface.py.
 
 The ordinary path is the hysteretic rate control of docs/design.md: an aged entry per processor, direct route
-first, then a weighted tandem, the last circuits kept back. Pressure is one figure, scaled so that H = 1.
+first, then a weighted tandem, the last circuits kept back. Pressure is one figure, 1 at the threshold.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from arrowkeel import interface as it
 from arrowkeel.processor import (
-    ASKED_SPAN_NS,
+    BASE_TOLERANCE,
     BLOCKING,
+    BLOCKING_LOAD,
+    CRANKBACK_SMOOTHING,
+    DEMAND_WINDOW_NS,
+    LOCAL_RATE_INCREASE,
     NORMAL,
-    OWN_RAISE,
-    PROBE_GAP_NS,
-    RATE_SPAN_NS,
-    TAU_BASE,
-    TAU_WORTH,
-    TRIAL_GAP_NS,
-    TURNED_SMOOTHING,
-    H,
+    OVERLOAD_LOAD,
+    PROBE_INTERVAL_NS,
+    SENT_WINDOW_NS,
+    TRIAL_INTERVAL_NS,
+    WORTH_TOLERANCE,
     Processor,
-    R,
 )
 from arrowkeel.state import NS_PER_S, CallState, ExponentialBackoff, FirstSeen, Route
 
@@ -34,8 +34,13 @@
     0.25,
 )  # the longest aim that spans are set for; the least they shrink to
 CROWD = 9.0  # senders for which one call each (floor, tolerance, trial) is little; more of them share it
-WAIT_AT_H = 0.2  # share of the longest aim: a wait that counts as H; two processors and a retry still fit
-HOLD_BACK_AT_H, QUEUED_AT_H = 0.25, 10.0  # asked share to hold back, messages waiting, that count as H
+WAIT_AT_H = (
+    0.2  # share of the longest aim: a wait that counts as OVERLOAD_LOAD; two processors and a retry still fit
+)
+HOLD_BACK_AT_H, QUEUED_AT_H = (
+    0.25,
+    10.0,
+)  # asked share to hold back, messages waiting, that count as OVERLOAD_LOAD
 HOT_SHARE, HOT_LEAST = 0.1, 3.0  # of the far ends heard of lately: so many pressed, and no call goes round
 OWN_RANK = 12  # own excess is the least of up to seven far ends' excesses, the least eighth of more
 RESERVE_SHARE, DIRECT_RESERVE = 0.1, 2.0  # of a group, from transit and alternatives; from the least worthy
@@ -72,10 +77,10 @@
         # shorter too, and a span kept whole outlives the distress it guards against. Longer aims keep them.
         self.pace = min(1.0, max(PACE_LEAST, settings.longest_aim_ns / PACE_AIM_NS))
         self.own, self.crowd = Processor(1.0, self.pace), max(1.0, settings.agents / CROWD)
-        self.own.calm_raise = OWN_RAISE
+        self.own.recovery_increase = LOCAL_RATE_INCREASE
         # Sixty agents in doubt about sixty far ends probed more than callers called, at their expense. It
         # bounds what any common distress adds. Harm: that a far end has recovered is known seconds later.
-        self.far_probe_gap = int(PROBE_GAP_NS * self.crowd)
+        self.far_probe_gap = int(PROBE_INTERVAL_NS * self.crowd)
         self.wait_at_h, self.floor = WAIT_AT_H * settings.longest_aim_ns, float(settings.longest_aim_ns)
         self.far, self.watched = dict[str, Far](), dict[str, Far]()  # watched: with news, to be judged
         self.by_number: dict[int, Far] = {}
@@ -115,7 +120,7 @@
     def is_skipped(self, exchange: str) -> bool:
         """Whether a listed exchange gets no calls just now, but for trials; for operators to see."""
         far = self.far.get(exchange)
-        return far is None or not far.is_serving or far.processor.silent or far.processor.state == BLOCKING
+        return far is None or not far.is_serving or far.processor.is_silent or far.processor.state == BLOCKING
 
     def on_list(self, event: it.ExchangeList, now: int) -> None:
         if event.kind in (it.ListKind.COMPLETE, it.ListKind.REMEMBERED):
@@ -128,8 +133,8 @@
             for cpu in (
                 (far.processor, self.own) if far.number == self.settings.own_number else (far.processor,)
             ):
-                if entry.started_ns > cpu.started:  # its bucket starts filled at random: nobody in step
-                    cpu.begin_anew(entry.started_ns, now)
+                if entry.started_ns > cpu.started_at_ns:  # its bucket starts filled at random: nobody in step
+                    cpu.reset_after_restart(entry.started_ns, now)
                     cpu.bucket.set_level(self.random.random() / (self.cold_rate(cpu, now) or NS_PER_S), now)
             if far.is_serving or entry.number not in self.by_number:
                 old = self.by_number.get(entry.number)
@@ -139,7 +144,7 @@
                         old.circuits_total,
                         old.tandem_weights,
                     )
-                    far.processor.asked = old.processor.asked
+                    far.processor.demand = old.processor.demand
                 self.by_number[entry.number] = far
         self.far = {f.exchange: f for f in self.far.values() if f.is_serving or self.by_number[f.number] is f}
         self.numbers = sorted(self.by_number.keys() - {self.settings.own_number})
@@ -154,7 +159,7 @@
                 report.group_size or far.circuits_total,
             )
         if report.accepted_per_s is not None:
-            far.processor.fair = report.accepted_per_s / self.settings.agents
+            far.processor.fair_share_per_s = report.accepted_per_s / self.settings.agents
         scales = (  # each field in its own scale
             (report.wait_ns, self.wait_at_h),
             (report.hold_back_share, HOLD_BACK_AT_H),
@@ -162,45 +167,53 @@
         )
         if scores := [value / at_h for value, at_h in scales if value is not None]:
             cpu = self.own if far.number == self.settings.own_number else far.processor
-            cpu.told, cpu.told_at = max(scores), now
+            cpu.reported_load, cpu.load_reported_at_ns = max(scores), now
             self.watched[far.exchange] = far
 
     def on_probe(self, event: it.ProbeAnswer, now: int) -> None:
         self.read_report(event.exchange, event.report, now)
         far = self.far.get(event.exchange)
         if far is not None and event.delay_ns and event.ending is it.Ending.COMPLETED:
-            far.processor.hear(now)  # without a delay it is news of the own circuit group
+            far.processor.record_response(now)  # without a delay it is news of the own circuit group
 
     def own_excess(self, now: int) -> float:
         """Delay that rises towards all far ends is the own processor's; a dead end's silence is not."""
-        live = (far.processor for far in self.watched.values() if not far.processor.silent)
-        seen = [c.excess(now, self.floor) for c in live if c.pending or c.heard_at > now - c.valid_ns]
+        live = (far.processor for far in self.watched.values() if not far.processor.is_silent)
+        seen = [
+            c.excess_delay_ns(now, self.floor)
+            for c in live
+            if c.pending or c.responded_at_ns > now - c.base_validity_ns
+        ]
         return sorted(seen)[len(seen) // OWN_RANK] if len(seen) > 1 else 0.0
 
     def judge(self, now: int) -> None:
         """Renew the entries with news; silence shows as the age of what is out."""
         excess = self.own_excess(now)
-        told = self.own.told if self.own.told_at > now - self.own.valid_ns else 0.0
+        told = (
+            self.own.reported_load if self.own.load_reported_at_ns > now - self.own.base_validity_ns else 0.0
+        )
         own = max(excess / self.wait_at_h, told)
         heard = own > 0 or any(
-            f.processor.pending or f.processor.heard_at > now - NS_PER_S for f in self.watched.values()
+            f.processor.pending or f.processor.responded_at_ns > now - NS_PER_S for f in self.watched.values()
         )
         self.renew("own processor", self.own, own if heard else -1.0, now)
         lately = [
-            f.processor for f in self.watched.values() if f.processor.heard_at > now - f.processor.valid_ns
+            f.processor
+            for f in self.watched.values()
+            if f.processor.responded_at_ns > now - f.processor.base_validity_ns
         ]
         self.hot = sum(c.state != NORMAL for c in lately) >= max(HOT_LEAST, HOT_SHARE * len(lately))
         for far in list(self.watched.values()):
-            cpu, span = far.processor, far.processor.validity(now)
-            pressure = max(0.0, cpu.excess(now, self.floor) - excess) / self.wait_at_h
-            pressure = max(pressure, cpu.told if cpu.told_at > now - span else 0.0)
+            cpu, span = far.processor, far.processor.validity_ns(now)
+            pressure = max(0.0, cpu.excess_delay_ns(now, self.floor) - excess) / self.wait_at_h
+            pressure = max(pressure, cpu.reported_load if cpu.load_reported_at_ns > now - span else 0.0)
             oldest = cpu.pending.oldest_sent_at_ns(now)
-            quiet = now - max(oldest, cpu.heard_at) > SILENT_SHARE * self.settings.shortest_aim_ns
-            if quiet and not cpu.silent and len(cpu.pending) + cpu.missed > 1 and own < H:
-                cpu.miss(now, self.spread())
-            heard = len(cpu.pending) > 0 or pressure > 0 or cpu.heard_at > now - cpu.valid_ns
+            quiet = now - max(oldest, cpu.responded_at_ns) > SILENT_SHARE * self.settings.shortest_aim_ns
+            if quiet and not cpu.is_silent and len(cpu.pending) + cpu.unanswered > 1 and own < OVERLOAD_LOAD:
+                cpu.mark_silent(now, self.spread())
+            heard = len(cpu.pending) > 0 or pressure > 0 or cpu.responded_at_ns > now - cpu.base_validity_ns
             self.renew(f"exchange {far.number}", cpu, pressure if heard else -1.0, now)
-            if far.is_serving and (cpu.silent or cpu.state != NORMAL or now - oldest > self.wait_at_h / 2):
+            if far.is_serving and (cpu.is_silent or cpu.state != NORMAL or now - oldest > self.wait_at_h / 2):
                 self.probe(far, self.far_probe_gap, now)
             elif not heard and cpu.state == NORMAL:  # what left the list lapses too, or it comes back blocked
                 del self.watched[far.exchange]
@@ -213,8 +226,8 @@
     def renew(self, name: str, cpu: Processor, pressure: float, now: int) -> None:
         before = cpu.state
         if pressure >= 0:
-            cpu.observe(pressure, now, self.random.random())
-        cpu.lapse(now)
+            cpu.apply_load(pressure, now, self.random.random())
+        cpu.expire_state(now)
         if cpu.state != before:
             self.out.append(it.Note(f"{name} {STATES[before]} to {STATES[cpu.state]}: {pressure:.1f}"))
 
@@ -227,9 +240,9 @@
         aim_at, ends = start + kind.aim_ns, now + max(0, event.patience_ns)
         dest = self.by_number.get(event.destination)
         if first == came:  # no redial
-            self.own.asked.add(came)
+            self.own.demand.add(came)
             if dest is not None and not event.transit:
-                dest.processor.asked.add(came)
+                dest.processor.demand.add(came)
         late = now >= aim_at or (first == came and event.redial and not event.was_cut)
         worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.most_worth
         hold_until = min(aim_at - int(kind.aim_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
@@ -257,10 +270,10 @@
             return it.RefusalReason.NO_ROUTE
         if call.attempts >= self.settings.attempt_limit:
             return it.RefusalReason.ATTEMPTS_USED
-        if self.own.opens_at(now, tau) > now:
+        if self.own.next_admission_at_ns(now, tau) > now:
             return it.RefusalReason.OWN_PROCESSOR
-        if dest.processor.opens_at(now, tau) > now:
-            silent = dest.processor.silent
+        if dest.processor.next_admission_at_ns(now, tau) > now:
+            silent = dest.processor.is_silent
             return it.RefusalReason.FAR_SILENT if silent else it.RefusalReason.FAR_PROCESSOR
         if not self.room(dest, call, 0.0):
             return it.RefusalReason.NO_CIRCUIT
@@ -297,17 +310,17 @@
     def shut_until(self, cpu: Processor, now: int, tau: float) -> int:
         """A report or the answer to a call that is out can open a blocking gate at any time."""
         news = cpu.state == BLOCKING and (self.asks or len(cpu.pending) > 0)
-        return now if news and not cpu.silent else cpu.opens_at(now, tau)
+        return now if news and not cpu.is_silent else cpu.next_admission_at_ns(now, tau)
 
     def pressed(self, dest: Far) -> bool:
         return self.own.state != NORMAL or (self.settings.is_mesh and dest.processor.state != NORMAL)
 
     def only_late(self, call: Call, dest: Far, now: int) -> bool:
         """By the last delay known the call can only stand late: not worth the work of what is pressed."""
-        return self.pressed(dest) and now + dest.processor.delay > call.target_at_ns
+        return self.pressed(dest) and now + dest.processor.delay_ns > call.target_at_ns
 
     def tau(self, call: Call) -> float:
-        return TAU_BASE + TAU_WORTH * call.worth
+        return BASE_TOLERANCE + WORTH_TOLERANCE * call.worth
 
     def choose(self, call: Call, now: int) -> Far | None:
         if (
@@ -365,19 +378,21 @@
         return self.random.choices(options, weights)[0][0] if options else None
 
     def ready(self, cpu: Processor, now: int, tau: float) -> bool:
-        cpu.cold_rate = self.cold_rate(cpu, now) if cpu.started else 0.0
+        cpu.cold_rate_per_s = self.cold_rate(cpu, now) if cpu.started_at_ns else 0.0
         return cpu.admits(now, tau)
 
     def cold_rate(self, cpu: Processor, now: int) -> float:
         """This agent's part of a just started processor's budget: under a call a window, a longer gap."""
-        warm, age = self.settings.warm_after_ns, max(0, now - cpu.started)
+        warm, age = self.settings.warm_after_ns, max(0, now - cpu.started_at_ns)
         if age >= warm:
             return 0.0
         share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age / warm
         agents = 1 if cpu is self.own else self.settings.agents
         # What callers asked of it, not what is sent: in distress that is little and starves what returns,
         # whatever the distress was; nor a mean of all pairs. Harm: calls of a flood count as usual ones.
-        usual = cpu.asked.count(now) * NS_PER_S / max(RATE_SPAN_NS, min(ASKED_SPAN_NS, now - self.began_at))
+        usual = (
+            cpu.demand.count(now) * NS_PER_S / max(SENT_WINDOW_NS, min(DEMAND_WINDOW_NS, now - self.began_at))
+        )
         return max(COLD_LEAST / agents, share * self.settings.cold_multiple * COLD_CAUTION * usual)
 
     def send(self, call: Call, far: Far, now: int) -> None:
@@ -388,14 +403,14 @@
         far.circuits_free = (
             None if far.circuits_free is None else max(0, far.circuits_free - call.event.width)
         )
-        far.processor.take(now)
+        far.processor.record_sent(now)
         far.processor.pending.send_times_ns[call.id] = now
         self.watched[far.exchange] = far
-        if far.processor.silent:  # the next trial does not wait for this one's caller to tire
-            far.processor.miss(now, self.spread())
-        elif far.processor.sent.count(now, far.processor.valid_ns) > 1:
+        if far.processor.is_silent:  # the next trial does not wait for this one's caller to tire
+            far.processor.mark_silent(now, self.spread())
+        elif far.processor.sent.count(now, far.processor.base_validity_ns) > 1:
             self.probe(far, self.far_probe_gap, now)
-        self.own.take(now)
+        self.own.record_sent(now)
         self.out.append(it.SetUp(call.id, far.exchange))  # abandoned when the caller's patience ends
 
     def refuse(self, call: Call, reason: it.RefusalReason) -> None:
@@ -426,18 +441,18 @@
                 (lost, now) for lost in far.processor.pending.remove_with_overtaken(call.id)
             )
         self.forget(call.id)
-        far.processor.done.add(now)
-        self.own.done.add(now)
+        far.processor.established.add(now)
+        self.own.established.add(now)
         if far is dest and now - event.delay_ns > self.stalled_at:
             self.floor = min(self.floor, event.delay_ns)
-            far.processor.learn_delay(event.delay_ns, now)
+            far.processor.record_delay(event.delay_ns, now)
         elif far is not dest:
             self.weigh(dest, far, now, stood=True)
-        far.processor.hear(now)
+        far.processor.record_response(now)
 
     def weigh(self, dest: Far, tandem: Far, now: int, stood: bool) -> None:
         weight = dest.tandem_weights.get(tandem.number, WEIGHT_UNTRIED)
-        self.turned_back += (float(not stood) - self.turned_back) * TURNED_SMOOTHING
+        self.turned_back += (float(not stood) - self.turned_back) * CRANKBACK_SMOOTHING
         if stood:
             dest.tandem_weights[tandem.number] = weight + (1.0 - weight) * WEIGHT_UP
         else:
@@ -469,18 +484,18 @@
     def learn_ending(self, call: Call, far: Far, event: it.AttemptEnded, now: int) -> None:
         dest, cpu = self.by_number.get(call.event.destination, far), far.processor
         if event.ending in (it.Ending.NO_ANSWER, it.Ending.NO_CONNECTION):
-            cpu.missed += 1
-            unheard = cpu.missed > 1 and cpu.heard_at < now - cpu.valid_ns // 2
+            cpu.unanswered += 1
+            unheard = cpu.unanswered > 1 and cpu.responded_at_ns < now - cpu.base_validity_ns // 2
             if unheard or event.ending is it.Ending.NO_CONNECTION:
-                cpu.miss(now, self.spread())
+                cpu.mark_silent(now, self.spread())
         elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.PROCESSOR_FULL:
-            call.earliest_attempt_at_ns = now + TRIAL_GAP_NS  # the own processor is down
+            call.earliest_attempt_at_ns = now + TRIAL_INTERVAL_NS  # the own processor is down
         elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.NO_CIRCUIT:
             far.circuits_free = (
                 0  # not where it came too late or the exchange drains: the group has not changed
             )
         elif event.ending is it.Ending.NUMBER_BUSY:
-            cpu.hear(now)
+            cpu.record_response(now)
             if event.cause is it.Cause.LINES_BUSY:
                 self.busy.block(call.event.number_called, now, self.spread())
             else:
@@ -488,10 +503,13 @@
                 if far is not dest:
                     self.weigh(dest, far, now, stood=False)
         elif event.ending is it.Ending.TURNED_AWAY:
-            cpu.hear(now)
+            cpu.record_response(now)
             if event.cause in (it.Cause.PROCESSOR_FULL, it.Cause.BEYOND_FULL):
                 full = cpu if event.cause is it.Cause.PROCESSOR_FULL else dest.processor
-                full.told, full.told_at = R, now  # its wait is beyond any aim: no set-up until it has drained
+                full.reported_load, full.load_reported_at_ns = (
+                    BLOCKING_LOAD,
+                    now,
+                )  # its wait is beyond any aim: no set-up until it has drained
                 self.watched.update({far.exchange: far, dest.exchange: dest})
             if far is not dest:
                 self.weigh(dest, far, now, stood=False)
@@ -514,14 +532,14 @@
             ):
                 del self.overtaken[call_id]
                 again = (
-                    now + self.settings.release_ns + int(max(0.0, call.current_route.processor.delay))
+                    now + self.settings.release_ns + int(max(0.0, call.current_route.processor.delay_ns))
                     < call.patience_ends_at_ns
                 )
                 if again and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
                     self.out.append(it.CancelAttempt(call.id, call.attempts - 1))
 
     def is_lost(self, cpu: Processor, since: int, now: int) -> bool:
-        return since > max(LOST_NS, cpu.delay) and cpu.done.count(now, since) >= LOST_BEHIND
+        return since > max(LOST_NS, cpu.delay_ns) and cpu.established.count(now, since) >= LOST_BEHIND
 
     def spread(self) -> float:  # gaps are drawn around their middle, so that agents do not act in step
         return 0.75 + 0.5 * self.random.random()
@@ -540,4 +558,4 @@
         for call in sorted(self.held.values(), key=lambda c: (-c.worth, c.queueing_ends_at_ns)):
             del self.held[call.id]
             self.decide(call, now)
-        self.probe(self.by_number.get(self.settings.own_number), PROBE_GAP_NS // 2, now)
+        self.probe(self.by_number.get(self.settings.own_number), PROBE_INTERVAL_NS // 2, now)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -204,7 +204,9 @@
 
 def test_a_call_whose_next_try_would_come_too_late_is_answered_at_once() -> None:
     driver = PolicyDriver()
-    driver.policy.far["x2"].processor.miss(driver.now, 1.25)  # silent, its next trial is over a second away
+    driver.policy.far["x2"].processor.mark_silent(
+        driver.now, 1.25
+    )  # silent, its next trial is over a second away
     call, actions = driver.offer(2)
     assert refused_at_once(actions, call)
     call, _ = driver.offer(1)
@@ -238,7 +240,7 @@
     driver.end(first, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(first))
     driver.wait(25)
-    assert cpu.valid_until - driver.now > 1500 * MS, "nothing out, no reports: shut for the validity time"
+    assert cpu.expires_at_ns - driver.now > 1500 * MS, "nothing out, no reports: shut for the validity time"
     call, actions = driver.offer(2)
     assert refused_at_once(actions, call)
 
@@ -247,8 +249,8 @@
     """Incident i334348: a thousand calls were held as late at a time, then refused."""
     driver = PolicyDriver()
     own, cpu = driver.policy.own, driver.policy.far["x2"].processor
-    own.state, own.valid_until, own.rate = 1, driver.now + 60 * S, 100.0  # in overload
-    cpu.delay, cpu.measured_at = 1600.0 * MS, driver.now
+    own.state, own.expires_at_ns, own.permitted_rate_per_s = 1, driver.now + 60 * S, 100.0  # in overload
+    cpu.delay_ns, cpu.measured_at_ns = 1600.0 * MS, driver.now
     call, actions = driver.offer(2)
     assert refused_at_once(actions, call)
     own.state = 0
@@ -265,8 +267,8 @@
         driver.wait(50)
     cpu = driver.policy.far["x2"].processor
     assert (
-        cpu.sent.rate_per_s(driver.now) < cpu.asked.rate_per_s(driver.now) / 5
-        and cpu.validity(driver.now) == 2 * S
+        cpu.sent.rate_per_s(driver.now) < cpu.demand.rate_per_s(driver.now) / 5
+        and cpu.validity_ns(driver.now) == 2 * S
     )
 
 
@@ -281,7 +283,7 @@
             driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
             driver.tell(it.CallerLeft(call))
         driver.wait(25)
-        left.append(driver.policy.far["x2"].processor.valid_until - driver.now)
+        left.append(driver.policy.far["x2"].processor.expires_at_ns - driver.now)
     assert 2 * left[1] < left[0] and left[1] > 0
 
 
@@ -372,9 +374,11 @@
     """A hang left it curbed for 8 s more: no report tells what it takes, as it is told of far ends."""
     own = PolicyDriver().policy.own
     for call in range(600):
-        own.asked.add(94 * S + call * S // 100)
-    own.observe(1.5, 100 * S, 0.0)
+        own.demand.add(94 * S + call * S // 100)
+    own.apply_load(1.5, 100 * S, 0.0)
     for step in range(1, 8):
-        own.curbed_at = now = 100 * S + step * S // 2  # calls press at the gate all the while
-        own.observe(0.0, now, 0.0)
-    assert own.state != 0 and 60 < own.rate < 110  # as many a second as callers and their redials ask for
+        own.throttled_at_ns = now = 100 * S + step * S // 2  # calls press at the gate all the while
+        own.apply_load(0.0, now, 0.0)
+    assert (
+        own.state != 0 and 60 < own.permitted_rate_per_s < 110
+    )  # as many a second as callers and their redials ask for
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -199,7 +199,7 @@
     driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
-    driver.policy.far["x3"].processor.miss(driver.now, 1.0)
+    driver.policy.far["x3"].processor.mark_silent(driver.now, 1.0)
     gone = tuple(it.ListedExchange(f"x{number}", number, it.Listing.GONE) for number in (2, 3))
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, gone))
     driver.wait(500)
@@ -274,7 +274,7 @@
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
         driver.tell(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
-        driver.policy.far["x2"].processor.miss(driver.now, 1.0)
+        driver.policy.far["x2"].processor.mark_silent(driver.now, 1.0)
         driver.offer(2), driver.offer(2)
         driver.policy.watched["x2"] = driver.policy.far["x2"]
         for _ in range(400):
