--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -1,7 +1,9 @@
-"""Which way a call goes, whether it waits or is refused; settings, events, actions: arrowkeel/interface.py.
+"""Call control decisions: which route a call takes, and whether it is sent, queued or refused.
 
-The ordinary path is the hysteretic rate control of docs/design.md: an aged entry per processor, direct route
-first, then a weighted tandem, the last circuits kept back. Pressure is one figure, 1 at the threshold.
+Settings, events and actions are defined in arrowkeel/interface.py. Overload is handled by the rate control
+with hysteresis of docs/design.md: the knowledge of each processor expires, the direct route comes first,
+then a tandem drawn by weight, and the last circuits of a group are reserved (trunk reservation). The load of
+a processor is one figure, relative to its overload threshold, which is 1.
 """
 
 from __future__ import annotations
@@ -28,534 +30,789 @@
 )
 from arrowkeel.state import NS_PER_S, CallState, ExponentialBackoff, FirstSeen, Route
 
-STATES = ("normal", "overload", "blocking")
-PACE_AIM_NS, PACE_LEAST = (
-    3 * NS_PER_S // 2,
-    0.25,
-)  # the longest aim that spans are set for; the least they shrink to
-CROWD = 9.0  # senders for which one call each (floor, tolerance, trial) is little; more of them share it
-WAIT_AT_H = (
-    0.2  # share of the longest aim: a wait that counts as OVERLOAD_LOAD; two processors and a retry still fit
-)
-HOLD_BACK_AT_H, QUEUED_AT_H = (
-    0.25,
-    10.0,
-)  # asked share to hold back, messages waiting, that count as OVERLOAD_LOAD
-HOT_SHARE, HOT_LEAST = 0.1, 3.0  # of the far ends heard of lately: so many pressed, and no call goes round
-OWN_RANK = 12  # own excess is the least of up to seven far ends' excesses, the least eighth of more
-RESERVE_SHARE, DIRECT_RESERVE = 0.1, 2.0  # of a group, from transit and alternatives; from the least worthy
-WEIGHT_UP, WEIGHT_DOWN, WEIGHT_LEAST = 0.7, 0.3, 0.03  # of a tandem: success, turn-back, floor
-WEIGHT_UNTRIED, CANDIDATES = 0.1, 8  # far below a proven one; a draw looks at so many untried tandems
-TURN_BACK_BAR_NS, MOST_TANDEMS = NS_PER_S, 2  # rest after a turn-back, over the weight; tries cost two ends
-ADVICE_SHARE = 1.0  # an advised tandem counts as much as this times all others looked at
-LOST_NS, LOST_BEHIND = (
-    NS_PER_S // 20,
-    2,
-)  # overtaken so long ago, and by so many more since: no answer is coming
-TICK_NS, STALL_NS = (
-    NS_PER_S // 40,
-    NS_PER_S // 10,
-)  # held calls are looked at; a timer so late means that we stood still
-HOLD_SHARE, SILENT_SHARE = 0.7, 0.6  # of the aim: a call may be held, the rest is for its set-up; silence
-COLD_CAUTION, COLD_LEAST = 0.6, 3.0  # part of the cold budget taken; a second by all that know nothing
-BUSY_GAP_NS, BUSY_GAP_MOST_NS = (
-    NS_PER_S,
-    8 * NS_PER_S,
-)  # gapping of a number whose lines were all busy; doubles
-
-
-Far = Route[Processor]
+# Names of the overload states, in the order of their values.
+STATE_NAMES = ("normal", "overload", "blocking")
+
+# The intervals of overload control are meant for this longest target of a set-up. With shorter targets they
+# shrink in proportion, down to the minimum scale.
+REFERENCE_TARGET_NS, MIN_TIME_SCALE = 3 * NS_PER_S // 2, 0.25
+
+# Up to this many controllers, one call from each (as minimum rate, bucket tolerance or trial) is little load
+# for a processor; more controllers share that allowance.
+UNSHARED_CONTROLLERS = 9.0
+
+# Waiting time that counts as the overload threshold, as a share of the longest target: a set-up still meets
+# its target after such a wait at two processors and a retry.
+OVERLOAD_WAIT_SHARE = 0.2
+
+# Reported values that count as the overload threshold: the share of calls that the processor asks to hold
+# back, and the number of messages in its queue.
+OVERLOAD_HOLD_BACK_SHARE, OVERLOAD_QUEUED_MESSAGES = 0.25, 10.0
+
+# Overload is widespread, and calls take no tandem, while this share of the recently responding processors is
+# not in the normal state, and at least this number of them.
+WIDESPREAD_OVERLOAD_SHARE, WIDESPREAD_OVERLOAD_MIN = 0.1, 3.0
+
+# The excess delay of the local processor is the one at position count // 12 among those towards the remote
+# exchanges, in rising order: the lowest of up to eleven, about the lowest twelfth of more.
+LOCAL_EXCESS_DIVISOR = 12
+
+# Trunk reservation: the share of a circuit group that is reserved against transit calls and calls by way of a
+# tandem, and the largest number of circuits that is reserved against the direct calls of the lowest worth.
+TRUNK_RESERVATION_SHARE, MAX_DIRECT_RESERVATION = 0.1, 2.0
+
+# Weight of a tandem: the part of the distance to 1 that a success adds, the factor of a returned call, and
+# the minimum.
+TANDEM_WEIGHT_GAIN, TANDEM_WEIGHT_LOSS, MIN_TANDEM_WEIGHT = 0.7, 0.3, 0.03
+
+# Weight of an untried tandem, far below that of a proven one, and how many tandems are sampled for one draw.
+UNTRIED_TANDEM_WEIGHT, TANDEM_SAMPLE_SIZE = 0.1, 8
+
+# A tandem that returned a call is not used towards that destination for this time, divided by its weight. A
+# call tries few tandems, because each attempt costs work at two exchanges.
+CRANKBACK_BAR_NS, MAX_TANDEMS_PER_CALL = NS_PER_S, 2
+
+# Weight that is added to an advised tandem, as a multiple of the sum of all candidates' weights.
+ADVISED_TANDEM_SHARE = 1.0
+
+# A set-up counts as lost when it was overtaken this long ago, and this many more have been established since.
+LOST_AFTER_NS, LOST_AFTER_SET_UPS = NS_PER_S // 20, 2
+
+# Interval at which states are updated and queued calls are tried again; and how late the timer has to be for
+# the controller to conclude that its own process was stalled.
+TICK_NS, STALL_NS = NS_PER_S // 40, NS_PER_S // 10
+
+# Shares of the target: how long a call may be queued, so that the rest is left for its set-up; and how long
+# an exchange may leave set-ups without any response until it counts as silent.
+QUEUEING_SHARE, SILENCE_SHARE = 0.7, 0.6
+
+# The part of a starting processor's allowed load that is used, for safety; and the least number of calls per
+# second that all controllers without knowledge of the demand send to it together.
+COLD_BUDGET_SHARE, MIN_COLD_RATE_PER_S = 0.6, 3.0
+
+# Call gapping of a number whose lines were all busy: the first gap, and the maximum to which it doubles.
+BUSY_NUMBER_GAP_NS, MAX_BUSY_NUMBER_GAP_NS = NS_PER_S, 8 * NS_PER_S
+
+
+ExchangeRoute = Route[Processor]
 Call = CallState[Processor]
 
 
 class Policy:
-    """Decisions of one call agent. `handle` is pure: no clock, no input or output, nothing shared."""
+    """Decisions of one controller. `handle` has no clock, input or output, and controllers share nothing.
+
+    Equal settings, seed and events give equal actions.
+    """
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
         self.settings, self.random = settings, Random(seed)
-        # Spans are set for calls that are to stand in seconds: with shorter aims what is waited for is
-        # shorter too, and a span kept whole outlives the distress it guards against. Longer aims keep them.
-        self.pace = min(1.0, max(PACE_LEAST, settings.longest_aim_ns / PACE_AIM_NS))
-        self.own, self.crowd = Processor(1.0, self.pace), max(1.0, settings.agents / CROWD)
-        self.own.recovery_increase = LOCAL_RATE_INCREASE
-        # Sixty agents in doubt about sixty far ends probed more than callers called, at their expense. It
-        # bounds what any common distress adds. Harm: that a far end has recovered is known seconds later.
-        self.far_probe_gap = int(PROBE_INTERVAL_NS * self.crowd)
-        self.wait_at_h, self.floor = WAIT_AT_H * settings.longest_aim_ns, float(settings.longest_aim_ns)
-        self.far, self.watched = dict[str, Far](), dict[str, Far]()  # watched: with news, to be judged
-        self.by_number: dict[int, Far] = {}
-        self.calls, self.held = dict[str, Call](), dict[str, Call]()
-        self.overtaken = dict[str, int]()  # set-ups that a later one has overtaken, and when
-        self.busy = ExponentialBackoff(BUSY_GAP_NS, BUSY_GAP_MOST_NS)
-        self.asked = FirstSeen(settings.longest_give_up_ns)
-        self.numbers: list[int] = []
-        self.turned_back = 0.0  # share of the latest tandem attempts, whatever their destination
-        self.hot, self.asks = False, settings.may_probe and settings.reporting is it.Reporting.ON_PROBE
-        self.began_at = self.seen_at = self.came_at = self.timer_at = self.stalled_at = self.ask_at = 0
-        self.out: list[it.Action] = []
+        # The intervals suit calls that are to be established within seconds. With shorter targets the waits
+        # are shorter as well, and intervals of full length would outlive the overload that they protect
+        # against. Longer targets leave the intervals unchanged.
+        self.time_scale = min(1.0, max(MIN_TIME_SCALE, settings.longest_aim_ns / REFERENCE_TARGET_NS))
+        self.local_processor, self.sharing_factor = (
+            Processor(1.0, self.time_scale),
+            max(1.0, settings.agents / UNSHARED_CONTROLLERS),
+        )
+        self.local_processor.recovery_increase = LOCAL_RATE_INCREASE
+        # With sixty controllers and sixty exchanges, probes at the full rate outnumbered the calls and were
+        # served at their expense. The longer interval bounds the load that any common overload adds. The
+        # drawback: that an exchange has recovered is noticed seconds later.
+        self.probe_interval_ns = int(PROBE_INTERVAL_NS * self.sharing_factor)
+        # `min_delay_ns` is the shortest set-up delay seen so far, taken as the delay without load.
+        self.overload_wait_ns, self.min_delay_ns = (
+            OVERLOAD_WAIT_SHARE * settings.longest_aim_ns,
+            float(settings.longest_aim_ns),
+        )
+        # By exchange identifier; the watched ones have news or are not in the normal state, and are updated
+        # on every tick.
+        self.routes, self.watched_routes = dict[str, ExchangeRoute](), dict[str, ExchangeRoute]()
+        self.routes_by_number: dict[int, ExchangeRoute] = {}
+        self.calls, self.queued_calls = dict[str, Call](), dict[str, Call]()
+        self.overtaken_calls = dict[str, int]()  # when a later set-up overtook that of the call
+        self.gapped_numbers = ExponentialBackoff(BUSY_NUMBER_GAP_NS, MAX_BUSY_NUMBER_GAP_NS)
+        self.first_offers = FirstSeen(settings.longest_give_up_ns)
+        self.remote_numbers: list[int] = []
+        self.crankback_share = 0.0  # share of recent tandem attempts that were returned, to any destination
+        self.is_overload_widespread, self.sends_probes = (
+            False,
+            settings.may_probe and settings.reporting is it.Reporting.ON_PROBE,
+        )
+        # When the first and the last batch of events was handled, when the event in hand arrived, when the
+        # next tick is due, when the process was last found stalled, and when the exchange list is to be
+        # requested again.
+        self.first_handled_at_ns = self.last_handled_at_ns = self.event_arrived_at_ns = (
+            self.next_tick_at_ns
+        ) = self.stalled_at_ns = self.list_request_at_ns = 0
+        self.actions: list[it.Action] = []
         self.handlers: dict[type, Callable[[Any, int], None]] = {
-            it.CallOffered: self.on_call,
-            it.CallEstablished: self.on_established,
-            it.AttemptEnded: self.on_ended,
-            it.CallerLeft: lambda event, _: self.forget(event.call),
-            it.ProbeAnswer: self.on_probe,
-            it.ExchangeList: self.on_list,
+            it.CallOffered: self.on_call_offered,
+            it.CallEstablished: self.on_call_established,
+            it.AttemptEnded: self.on_attempt_ended,
+            it.CallerLeft: lambda event, _: self.close_call(event.call),
+            it.ProbeAnswer: self.on_probe_answer,
+            it.ExchangeList: self.on_exchange_list,
         }
 
     def handle(self, now_ns: int, events: Sequence[it.Event]) -> Sequence[it.Action]:
-        self.out = []
-        self.began_at = self.began_at or now_ns
-        if self.timer_at and now_ns - self.timer_at > STALL_NS:
-            self.stalled_at = now_ns  # told by the own late timer from far ends that seem slow all at once
-            for far in self.far.values():
-                far.processor.pending.reset_ages(now_ns)
-        for place, event in enumerate(events, 1):
-            self.came_at = self.seen_at + (now_ns - self.seen_at) * place // len(events)
+        """Takes a batch of events in the order of their arrival; returns the actions to perform, in order."""
+        self.actions = []
+        self.first_handled_at_ns = self.first_handled_at_ns or now_ns
+        if self.next_tick_at_ns and now_ns - self.next_tick_at_ns > STALL_NS:
+            # A late timer shows that this process was stalled. Without it all remote exchanges would seem to
+            # have become slow at once.
+            self.stalled_at_ns = now_ns
+            for route in self.routes.values():
+                route.processor.pending.reset_ages(now_ns)
+        for position, event in enumerate(events, 1):
+            # The arrival times within a batch are unknown; they are spread evenly over the time since the
+            # last one.
+            self.event_arrived_at_ns = self.last_handled_at_ns + (
+                now_ns - self.last_handled_at_ns
+            ) * position // len(events)
             if handler := self.handlers.get(type(event)):
                 handler(event, now_ns)
-        self.seen_at = now_ns
-        self.look(now_ns)
-        return self.out
+        self.last_handled_at_ns = now_ns
+        self.run_tick(now_ns)
+        return self.actions
 
     def is_skipped(self, exchange: str) -> bool:
-        """Whether a listed exchange gets no calls just now, but for trials; for operators to see."""
-        far = self.far.get(exchange)
-        return far is None or not far.is_serving or far.processor.is_silent or far.processor.state == BLOCKING
+        """Whether an exchange gets no calls at present, except for trial calls; shown to operators."""
+        route = self.routes.get(exchange)
+        return (
+            route is None
+            or not route.is_serving
+            or route.processor.is_silent
+            or route.processor.state == BLOCKING
+        )
 
-    def on_list(self, event: it.ExchangeList, now: int) -> None:
+    def on_exchange_list(self, event: it.ExchangeList, now_ns: int) -> None:
+        """Takes over a complete exchange list or changes to it."""
         if event.kind in (it.ListKind.COMPLETE, it.ListKind.REMEMBERED):
-            for far in self.far.values():
-                far.is_serving = False  # what a complete list leaves out is gone
+            for route in self.routes.values():
+                route.is_serving = False  # an exchange that a complete list leaves out is gone
         for entry in event.entries:
-            new = Far(entry.exchange, entry.number, Processor(self.crowd, self.pace))
-            far = self.far.setdefault(entry.exchange, new)
-            far.number, far.is_serving = entry.number, entry.listing is it.Listing.SERVING
-            for cpu in (
-                (far.processor, self.own) if far.number == self.settings.own_number else (far.processor,)
+            new_route = ExchangeRoute(
+                entry.exchange, entry.number, Processor(self.sharing_factor, self.time_scale)
+            )
+            route = self.routes.setdefault(entry.exchange, new_route)
+            route.number, route.is_serving = entry.number, entry.listing is it.Listing.SERVING
+            for processor in (
+                (route.processor, self.local_processor)
+                if route.number == self.settings.own_number
+                else (route.processor,)
             ):
-                if entry.started_ns > cpu.started_at_ns:  # its bucket starts filled at random: nobody in step
-                    cpu.reset_after_restart(entry.started_ns, now)
-                    cpu.bucket.set_level(self.random.random() / (self.cold_rate(cpu, now) or NS_PER_S), now)
-            if far.is_serving or entry.number not in self.by_number:
-                old = self.by_number.get(entry.number)
-                if old is not None and old is not far:  # a replacement takes over the group and its weights
-                    far.circuits_free, far.circuits_total, far.tandem_weights = (
-                        old.circuits_free,
-                        old.circuits_total,
-                        old.tandem_weights,
+                if entry.started_ns > processor.started_at_ns:
+                    processor.reset_after_restart(entry.started_ns, now_ns)
+                    # The bucket starts at a random level, so that the controllers do not send in step.
+                    processor.bucket.set_level(
+                        self.random.random() / (self.allowed_cold_rate_per_s(processor, now_ns) or NS_PER_S),
+                        now_ns,
                     )
-                    far.processor.demand = old.processor.demand
-                self.by_number[entry.number] = far
-        self.far = {f.exchange: f for f in self.far.values() if f.is_serving or self.by_number[f.number] is f}
-        self.numbers = sorted(self.by_number.keys() - {self.settings.own_number})
-
-    def read_report(self, exchange: str, report: it.Report | None, now: int) -> None:
-        far = self.far.get(exchange)
-        if far is None or report is None:
+            if route.is_serving or entry.number not in self.routes_by_number:
+                old_route = self.routes_by_number.get(entry.number)
+                if old_route is not None and old_route is not route:
+                    # A replacement takes over the circuit group, the weights of its tandems and the demand.
+                    route.circuits_free, route.circuits_total, route.tandem_weights = (
+                        old_route.circuits_free,
+                        old_route.circuits_total,
+                        old_route.tandem_weights,
+                    )
+                    route.processor.demand = old_route.processor.demand
+                self.routes_by_number[entry.number] = route
+        self.routes = {
+            known.exchange: known
+            for known in self.routes.values()
+            if known.is_serving or self.routes_by_number[known.number] is known
+        }
+        self.remote_numbers = sorted(self.routes_by_number.keys() - {self.settings.own_number})
+
+    def record_report(self, exchange: str, report: it.Report | None, now_ns: int) -> None:
+        """Records the reported figures of an exchange; each load figure is put on the scale of the load."""
+        route = self.routes.get(exchange)
+        if route is None or report is None:
             return
         if report.free_circuits is not None:
-            far.circuits_free, far.circuits_total = (
+            route.circuits_free, route.circuits_total = (
                 report.free_circuits,
-                report.group_size or far.circuits_total,
+                report.group_size or route.circuits_total,
             )
         if report.accepted_per_s is not None:
-            far.processor.fair_share_per_s = report.accepted_per_s / self.settings.agents
-        scales = (  # each field in its own scale
-            (report.wait_ns, self.wait_at_h),
-            (report.hold_back_share, HOLD_BACK_AT_H),
-            (report.queued, QUEUED_AT_H),
-        )
-        if scores := [value / at_h for value, at_h in scales if value is not None]:
-            cpu = self.own if far.number == self.settings.own_number else far.processor
-            cpu.reported_load, cpu.load_reported_at_ns = max(scores), now
-            self.watched[far.exchange] = far
-
-    def on_probe(self, event: it.ProbeAnswer, now: int) -> None:
-        self.read_report(event.exchange, event.report, now)
-        far = self.far.get(event.exchange)
-        if far is not None and event.delay_ns and event.ending is it.Ending.COMPLETED:
-            far.processor.record_response(now)  # without a delay it is news of the own circuit group
-
-    def own_excess(self, now: int) -> float:
-        """Delay that rises towards all far ends is the own processor's; a dead end's silence is not."""
-        live = (far.processor for far in self.watched.values() if not far.processor.is_silent)
-        seen = [
-            c.excess_delay_ns(now, self.floor)
-            for c in live
-            if c.pending or c.responded_at_ns > now - c.base_validity_ns
+            route.processor.fair_share_per_s = report.accepted_per_s / self.settings.agents
+        scales = (  # each value with the one that counts as the overload threshold
+            (report.wait_ns, self.overload_wait_ns),
+            (report.hold_back_share, OVERLOAD_HOLD_BACK_SHARE),
+            (report.queued, OVERLOAD_QUEUED_MESSAGES),
+        )
+        if loads := [value / overload_value for value, overload_value in scales if value is not None]:
+            processor = self.local_processor if route.number == self.settings.own_number else route.processor
+            processor.reported_load, processor.load_reported_at_ns = max(loads), now_ns
+            self.watched_routes[route.exchange] = route
+
+    def on_probe_answer(self, event: it.ProbeAnswer, now_ns: int) -> None:
+        """Records a probe's answer, or a report on the circuit group towards an exchange."""
+        self.record_report(event.exchange, event.report, now_ns)
+        route = self.routes.get(event.exchange)
+        if route is not None and event.delay_ns and event.ending is it.Ending.COMPLETED:
+            # Without a delay it is only news of the local circuit group, not a response.
+            route.processor.record_response(now_ns)
+
+    def local_excess_delay_ns(self, now_ns: int) -> float:
+        """The part of the set-up delay that is due to the local processor.
+
+        A delay that rises towards all remote exchanges is caused locally; the silence of a dead one is not.
+        """
+        responsive = (
+            route.processor for route in self.watched_routes.values() if not route.processor.is_silent
+        )
+        excesses_ns = [
+            remote.excess_delay_ns(now_ns, self.min_delay_ns)
+            for remote in responsive
+            if remote.pending or remote.responded_at_ns > now_ns - remote.base_validity_ns
         ]
-        return sorted(seen)[len(seen) // OWN_RANK] if len(seen) > 1 else 0.0
-
-    def judge(self, now: int) -> None:
-        """Renew the entries with news; silence shows as the age of what is out."""
-        excess = self.own_excess(now)
-        told = (
-            self.own.reported_load if self.own.load_reported_at_ns > now - self.own.base_validity_ns else 0.0
-        )
-        own = max(excess / self.wait_at_h, told)
-        heard = own > 0 or any(
-            f.processor.pending or f.processor.responded_at_ns > now - NS_PER_S for f in self.watched.values()
-        )
-        self.renew("own processor", self.own, own if heard else -1.0, now)
-        lately = [
-            f.processor
-            for f in self.watched.values()
-            if f.processor.responded_at_ns > now - f.processor.base_validity_ns
+        return sorted(excesses_ns)[len(excesses_ns) // LOCAL_EXCESS_DIVISOR] if len(excesses_ns) > 1 else 0.0
+
+    def update_states(self, now_ns: int) -> None:
+        """Updates the state of the local processor and of all watched ones.
+
+        Missing responses count through the age of the pending set-ups.
+        """
+        local_excess_ns = self.local_excess_delay_ns(now_ns)
+        reported_load = (
+            self.local_processor.reported_load
+            if self.local_processor.load_reported_at_ns > now_ns - self.local_processor.base_validity_ns
+            else 0.0
+        )
+        local_load = max(local_excess_ns / self.overload_wait_ns, reported_load)
+        has_news = local_load > 0 or any(
+            watched.processor.pending or watched.processor.responded_at_ns > now_ns - NS_PER_S
+            for watched in self.watched_routes.values()
+        )
+        self.update_processor("own processor", self.local_processor, local_load if has_news else -1.0, now_ns)
+        responding = [
+            watched.processor
+            for watched in self.watched_routes.values()
+            if watched.processor.responded_at_ns > now_ns - watched.processor.base_validity_ns
         ]
-        self.hot = sum(c.state != NORMAL for c in lately) >= max(HOT_LEAST, HOT_SHARE * len(lately))
-        for far in list(self.watched.values()):
-            cpu, span = far.processor, far.processor.validity_ns(now)
-            pressure = max(0.0, cpu.excess_delay_ns(now, self.floor) - excess) / self.wait_at_h
-            pressure = max(pressure, cpu.reported_load if cpu.load_reported_at_ns > now - span else 0.0)
-            oldest = cpu.pending.oldest_sent_at_ns(now)
-            quiet = now - max(oldest, cpu.responded_at_ns) > SILENT_SHARE * self.settings.shortest_aim_ns
-            if quiet and not cpu.is_silent and len(cpu.pending) + cpu.unanswered > 1 and own < OVERLOAD_LOAD:
-                cpu.mark_silent(now, self.spread())
-            heard = len(cpu.pending) > 0 or pressure > 0 or cpu.responded_at_ns > now - cpu.base_validity_ns
-            self.renew(f"exchange {far.number}", cpu, pressure if heard else -1.0, now)
-            if far.is_serving and (cpu.is_silent or cpu.state != NORMAL or now - oldest > self.wait_at_h / 2):
-                self.probe(far, self.far_probe_gap, now)
-            elif not heard and cpu.state == NORMAL:  # what left the list lapses too, or it comes back blocked
-                del self.watched[far.exchange]
-
-    def probe(self, far: Far | None, gap: int, now: int) -> None:
-        if far is not None and far.is_serving and self.asks and now >= far.next_probe_at_ns:
-            self.out.append(it.Probe(far.exchange))
-            far.next_probe_at_ns = now + int(gap * self.spread())
-
-    def renew(self, name: str, cpu: Processor, pressure: float, now: int) -> None:
-        before = cpu.state
-        if pressure >= 0:
-            cpu.apply_load(pressure, now, self.random.random())
-        cpu.expire_state(now)
-        if cpu.state != before:
-            self.out.append(it.Note(f"{name} {STATES[before]} to {STATES[cpu.state]}: {pressure:.1f}"))
-
-    def on_call(self, event: it.CallOffered, now: int) -> None:
-        came, known = self.came_at, event.number_called and not event.transit
-        first = (
-            self.asked.get_or_record(event.number_called, now, came) if known else came
-        )  # redials: the first aim
-        kind, start = self.settings.class_named(event.class_name), came if event.was_cut else first
-        aim_at, ends = start + kind.aim_ns, now + max(0, event.patience_ns)
-        dest = self.by_number.get(event.destination)
-        if first == came:  # no redial
-            self.own.demand.add(came)
-            if dest is not None and not event.transit:
-                dest.processor.demand.add(came)
-        late = now >= aim_at or (first == came and event.redial and not event.was_cut)
-        worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.most_worth
-        hold_until = min(aim_at - int(kind.aim_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
-        call = self.calls[event.call] = Call(event, aim_at, ends, now, hold_until, worth, kind.pools)
-        if not event.transit and self.busy.is_blocked(event.number_called, now):
-            # A busy number is gapped by itself: its exchange is not curbed.
-            self.refuse(call, it.RefusalReason.NUMBER_GAPPED)
+        self.is_overload_widespread = sum(remote.state != NORMAL for remote in responding) >= max(
+            WIDESPREAD_OVERLOAD_MIN, WIDESPREAD_OVERLOAD_SHARE * len(responding)
+        )
+        for route in list(self.watched_routes.values()):
+            processor, report_validity_ns = route.processor, route.processor.validity_ns(now_ns)
+            load = (
+                max(0.0, processor.excess_delay_ns(now_ns, self.min_delay_ns) - local_excess_ns)
+                / self.overload_wait_ns
+            )
+            load = max(
+                load,
+                processor.reported_load
+                if processor.load_reported_at_ns > now_ns - report_validity_ns
+                else 0.0,
+            )
+            oldest_sent_at_ns = processor.pending.oldest_sent_at_ns(now_ns)
+            lacks_responses = (
+                now_ns - max(oldest_sent_at_ns, processor.responded_at_ns)
+                > SILENCE_SHARE * self.settings.shortest_aim_ns
+            )
+            if (
+                lacks_responses
+                and not processor.is_silent
+                and len(processor.pending) + processor.unanswered > 1
+                and local_load < OVERLOAD_LOAD
+            ):
+                processor.mark_silent(now_ns, self.random_spread())
+            has_news = (
+                len(processor.pending) > 0
+                or load > 0
+                or processor.responded_at_ns > now_ns - processor.base_validity_ns
+            )
+            self.update_processor(f"exchange {route.number}", processor, load if has_news else -1.0, now_ns)
+            if route.is_serving and (
+                processor.is_silent
+                or processor.state != NORMAL
+                or now_ns - oldest_sent_at_ns > self.overload_wait_ns / 2
+            ):
+                self.send_probe_if_due(route, self.probe_interval_ns, now_ns)
+            elif not has_news and processor.state == NORMAL:
+                # Exchanges that left the list stay watched until then: their state has to expire too, or
+                # they would be blocked when they come back.
+                del self.watched_routes[route.exchange]
+
+    def send_probe_if_due(self, route: ExchangeRoute | None, interval_ns: int, now_ns: int) -> None:
+        """Probes a serving exchange where probes report the load, at most once per interval."""
+        if route is not None and route.is_serving and self.sends_probes and now_ns >= route.next_probe_at_ns:
+            self.actions.append(it.Probe(route.exchange))
+            route.next_probe_at_ns = now_ns + int(interval_ns * self.random_spread())
+
+    def update_processor(self, name: str, processor: Processor, load: float, now_ns: int) -> None:
+        """Updates one processor with its load, below 0 if there is no news; notes a change of its state."""
+        previous_state = processor.state
+        if load >= 0:
+            processor.apply_load(load, now_ns, self.random.random())
+        processor.expire_state(now_ns)
+        if processor.state != previous_state:
+            self.actions.append(
+                it.Note(f"{name} {STATE_NAMES[previous_state]} to {STATE_NAMES[processor.state]}: {load:.1f}")
+            )
+
+    def on_call_offered(self, event: it.CallOffered, now_ns: int) -> None:
+        """Accepts a call, determines its target, deadline and worth, and decides on it."""
+        arrived_at_ns, is_identifiable = self.event_arrived_at_ns, event.number_called and not event.transit
+        # A redial keeps the target of the first attempt, unless it is made because the call was interrupted.
+        first_at_ns = (
+            self.first_offers.get_or_record(event.number_called, now_ns, arrived_at_ns)
+            if is_identifiable
+            else arrived_at_ns
+        )
+        call_class, target_from_ns = (
+            self.settings.class_named(event.class_name),
+            arrived_at_ns if event.was_cut else first_at_ns,
+        )
+        target_at_ns, patience_ends_at_ns = (
+            target_from_ns + call_class.aim_ns,
+            now_ns + max(0, event.patience_ns),
+        )
+        direct_route = self.routes_by_number.get(event.destination)
+        if first_at_ns == arrived_at_ns:  # no redial
+            self.local_processor.demand.add(arrived_at_ns)
+            if direct_route is not None and not event.transit:
+                direct_route.processor.demand.add(arrived_at_ns)
+        # A redial whose first attempt is not known here counts as late.
+        is_late = now_ns >= target_at_ns or (
+            first_at_ns == arrived_at_ns and event.redial and not event.was_cut
+        )
+        worth = call_class.worth * (call_class.late_worth if is_late else 1.0) / self.settings.most_worth
+        queueing_ends_at_ns = min(
+            target_at_ns - int(call_class.aim_ns * (1 - QUEUEING_SHARE)), patience_ends_at_ns - 2 * TICK_NS
+        )
+        call = self.calls[event.call] = Call(
+            event, target_at_ns, patience_ends_at_ns, now_ns, queueing_ends_at_ns, worth, call_class.pools
+        )
+        if not event.transit and self.gapped_numbers.is_blocked(event.number_called, now_ns):
+            # Only the busy number is gapped; other calls to its exchange are not throttled.
+            self.refuse_call(call, it.RefusalReason.NUMBER_GAPPED)
         else:
-            self.decide(call, now)
-
-    def decide(self, call: Call, now: int) -> None:
-        """Send the call, hold it, or answer it finally. Only ever called with no attempt out."""
-        far = self.choose(call, now)
-        if far is not None:
-            self.send(call, far, now)
-        elif self.worth_holding(call, now):
-            self.held[call.id] = call
+            self.decide_call(call, now_ns)
+
+    def decide_call(self, call: Call, now_ns: int) -> None:
+        """Sends the call, queues it or answers it finally. Only called while no attempt is in progress."""
+        route = self.choose_route(call, now_ns)
+        if route is not None:
+            self.send_set_up(call, route, now_ns)
+        elif self.is_worth_queueing(call, now_ns):
+            self.queued_calls[call.id] = call
         else:
-            self.refuse(call, self.refusal_reason(call, now))
+            self.refuse_call(call, self.refusal_reason(call, now_ns))
 
-    def refusal_reason(self, call: Call, now: int) -> it.RefusalReason:
-        """What stood in the way of a call that is neither sent nor held; for logs and metrics."""
-        dest, tau = self.by_number.get(call.event.destination), self.tau(call)
-        if dest is None or not dest.is_serving or dest.number == self.settings.own_number:
+    def refusal_reason(self, call: Call, now_ns: int) -> it.RefusalReason:
+        """Why a call can be neither sent nor queued; for logs and metrics."""
+        direct_route, tolerance = (
+            self.routes_by_number.get(call.event.destination),
+            self.bucket_tolerance(call),
+        )
+        if (
+            direct_route is None
+            or not direct_route.is_serving
+            or direct_route.number == self.settings.own_number
+        ):
             return it.RefusalReason.NO_ROUTE
         if call.attempts >= self.settings.attempt_limit:
             return it.RefusalReason.ATTEMPTS_USED
-        if self.own.next_admission_at_ns(now, tau) > now:
+        if self.local_processor.next_admission_at_ns(now_ns, tolerance) > now_ns:
             return it.RefusalReason.OWN_PROCESSOR
-        if dest.processor.next_admission_at_ns(now, tau) > now:
-            silent = dest.processor.is_silent
-            return it.RefusalReason.FAR_SILENT if silent else it.RefusalReason.FAR_PROCESSOR
-        if not self.room(dest, call, 0.0):
+        if direct_route.processor.next_admission_at_ns(now_ns, tolerance) > now_ns:
+            is_silent = direct_route.processor.is_silent
+            return it.RefusalReason.FAR_SILENT if is_silent else it.RefusalReason.FAR_PROCESSOR
+        if not self.has_free_circuits(direct_route, call, 0.0):
             return it.RefusalReason.NO_CIRCUIT
         return it.RefusalReason.TOO_LATE
 
-    def worth_holding(self, call: Call, now: int) -> bool:
-        """Whether the call can still be sent, and stand, if it waits; else its caller is answered at once.
+    def is_worth_queueing(self, call: Call, now_ns: int) -> bool:
+        """Whether the call can still be sent, and established in time, after waiting in the queue.
 
-        Against calls that sit out their time before a shut gate, a gone exchange or a far trial, whatever the
-        cause. It can do harm where a gate opens sooner than is known: that call has been refused in vain.
+        A call that can't is answered at once. This prevents calls from waiting in vain until their time is
+        over, be it for admission, for an exchange that is gone or for a trial call that is far off, whatever
+        the cause. The drawback: where admission opens sooner than is known now, the call is refused in vain.
         """
-        dest, by = (
-            self.by_number.get(call.event.destination),
+        direct_route, queue_until_ns = (
+            self.routes_by_number.get(call.event.destination),
             min(call.queueing_ends_at_ns, call.patience_ends_at_ns),
         )
         if call.event.transit or call.attempts >= self.settings.attempt_limit:
             return False
         if (
-            max(now, call.earliest_attempt_at_ns) >= by
-            or dest is None
-            or dest.number == self.settings.own_number
+            max(now_ns, call.earliest_attempt_at_ns) >= queue_until_ns
+            or direct_route is None
+            or direct_route.number == self.settings.own_number
         ):
             return False
-        if self.only_late(call, dest, now):
+        if self.would_be_late(call, direct_route, now_ns):
             return False
-        gates = (self.own, dest.processor) if self.settings.is_mesh else (self.own,)
-        if any(self.shut_until(cpu, now, self.tau(call)) >= by for cpu in gates):
+        processors = (
+            (self.local_processor, direct_route.processor)
+            if self.settings.is_mesh
+            else (self.local_processor,)
+        )
+        if any(
+            self.closed_until_ns(processor, now_ns, self.bucket_tolerance(call)) >= queue_until_ns
+            for processor in processors
+        ):
             return False
-        turns = len(call.tried_tandems) < MOST_TANDEMS
-        return (dest.is_serving and dest.circuits_total > 0) or (
-            turns and (dest.is_serving or not self.settings.is_mesh)
+        has_tandems_left = len(call.tried_tandems) < MAX_TANDEMS_PER_CALL
+        return (direct_route.is_serving and direct_route.circuits_total > 0) or (
+            has_tandems_left and (direct_route.is_serving or not self.settings.is_mesh)
         )
 
-    def shut_until(self, cpu: Processor, now: int, tau: float) -> int:
-        """A report or the answer to a call that is out can open a blocking gate at any time."""
-        news = cpu.state == BLOCKING and (self.asks or len(cpu.pending) > 0)
-        return now if news and not cpu.is_silent else cpu.next_admission_at_ns(now, tau)
+    def closed_until_ns(self, processor: Processor, now_ns: int, tolerance: float) -> int:
+        """Until when a processor certainly admits no call, as far as is known.
+
+        A probe's report or the response to a pending set-up can end blocking at any time.
+        """
+        may_open = processor.state == BLOCKING and (self.sends_probes or len(processor.pending) > 0)
+        return (
+            now_ns
+            if may_open and not processor.is_silent
+            else processor.next_admission_at_ns(now_ns, tolerance)
+        )
 
-    def pressed(self, dest: Far) -> bool:
-        return self.own.state != NORMAL or (self.settings.is_mesh and dest.processor.state != NORMAL)
+    def is_overloaded(self, direct_route: ExchangeRoute) -> bool:
+        """Whether the local processor or, in a mesh, that of the destination is not in the normal state."""
+        return self.local_processor.state != NORMAL or (
+            self.settings.is_mesh and direct_route.processor.state != NORMAL
+        )
 
-    def only_late(self, call: Call, dest: Far, now: int) -> bool:
-        """By the last delay known the call can only stand late: not worth the work of what is pressed."""
-        return self.pressed(dest) and now + dest.processor.delay_ns > call.target_at_ns
+    def would_be_late(self, call: Call, direct_route: ExchangeRoute, now_ns: int) -> bool:
+        """Whether, by the last known delay, the call would be established late at an overloaded processor.
 
-    def tau(self, call: Call) -> float:
+        That is not worth the work of an overloaded processor.
+        """
+        return (
+            self.is_overloaded(direct_route) and now_ns + direct_route.processor.delay_ns > call.target_at_ns
+        )
+
+    def bucket_tolerance(self, call: Call) -> float:
+        """Tolerance of the leaky bucket for the call, in increments of one call; it grows with the worth."""
         return BASE_TOLERANCE + WORTH_TOLERANCE * call.worth
 
-    def choose(self, call: Call, now: int) -> Far | None:
+    def choose_route(self, call: Call, now_ns: int) -> ExchangeRoute | None:
+        """The route to send the call on now: the direct one or a tandem; None if there is none."""
         if (
-            now < call.earliest_attempt_at_ns
+            now_ns < call.earliest_attempt_at_ns
             or call.attempts >= self.settings.attempt_limit
-            or now >= call.patience_ends_at_ns
+            or now_ns >= call.patience_ends_at_ns
+        ):
+            return None
+        event, direct_route = call.event, self.routes_by_number.get(call.event.destination)
+        tolerance, in_mesh = self.bucket_tolerance(call), self.settings.is_mesh
+        if (
+            direct_route is None
+            or direct_route.number == self.settings.own_number
+            or not self.admits_call(self.local_processor, now_ns, tolerance)
         ):
             return None
-        event, dest = call.event, self.by_number.get(call.event.destination)
-        tau, mesh = self.tau(call), self.settings.is_mesh
-        if dest is None or dest.number == self.settings.own_number or not self.ready(self.own, now, tau):
+        is_usable = direct_route.is_serving and self.admits_call(direct_route.processor, now_ns, tolerance)
+        overloaded = self.is_overloaded(direct_route)
+        if (in_mesh and not is_usable) or self.would_be_late(call, direct_route, now_ns):
+            # A tandem helps neither an overloaded destination nor a call that would be late anyway.
             return None
-        usable = dest.is_serving and self.ready(dest.processor, now, tau)
-        pressed = self.pressed(dest)
-        if (mesh and not usable) or self.only_late(call, dest, now):
-            return None  # no tandem helps a destination that is pressed; nor does what stands late anyway
-        direct = min(RESERVE_SHARE * dest.circuits_total, DIRECT_RESERVE) * (1.0 - call.worth)
-        if usable and self.room(dest, call, self.reserve(dest) if event.transit else direct):
-            return dest
-        may_turn = not (pressed or event.transit or self.hot) and len(call.tried_tandems) < MOST_TANDEMS
-        return self.draw_tandem(call, dest, now) if may_turn else None
-
-    def room(self, far: Far, call: Call, kept: float) -> bool:
-        return far.circuits_free is None or far.circuits_free - call.event.width >= int(kept)
-
-    def reserve(self, far: Far) -> float:
-        return max(1.0, RESERVE_SHARE * far.circuits_total)
-
-    def draw_tandem(self, call: Call, dest: Far, now: int) -> Far | None:
-        pool = self.numbers if self.settings.is_mesh else call.pools
-        advised, few = call.event.from_or_advised, self.random.random() < self.turned_back  # the mesh is full
-        looked_at = [] if few else self.random.sample(pool, min(len(pool), CANDIDATES))
-        options: list[tuple[Far, float]] = []
+        direct_reservation = min(
+            TRUNK_RESERVATION_SHARE * direct_route.circuits_total, MAX_DIRECT_RESERVATION
+        ) * (1.0 - call.worth)
+        if is_usable and self.has_free_circuits(
+            direct_route, call, self.trunk_reservation(direct_route) if event.transit else direct_reservation
+        ):
+            return direct_route
+        may_use_tandem = (
+            not (overloaded or event.transit or self.is_overload_widespread)
+            and len(call.tried_tandems) < MAX_TANDEMS_PER_CALL
+        )
+        return self.draw_tandem(call, direct_route, now_ns) if may_use_tandem else None
+
+    def has_free_circuits(self, route: ExchangeRoute, call: Call, reserved: float) -> bool:
+        """Whether the call leaves `reserved` circuits of the group free; True where the group is unknown."""
+        return route.circuits_free is None or route.circuits_free - call.event.width >= int(reserved)
+
+    def trunk_reservation(self, route: ExchangeRoute) -> float:
+        """Circuits of the group that are reserved against transit calls and calls by way of a tandem."""
+        return max(1.0, TRUNK_RESERVATION_SHARE * route.circuits_total)
+
+    def draw_tandem(self, call: Call, direct_route: ExchangeRoute, now_ns: int) -> ExchangeRoute | None:
+        """Draws a tandem at random, weighted by its success towards the destination and its free circuits.
+
+        Candidates are the tandems with a weight, the advised one and a random sample of the others.
+        """
+        tandem_numbers = self.remote_numbers if self.settings.is_mesh else call.pools
+        # Returned calls show that the mesh is full: the more there are, the less often untried tandems are
+        # sampled.
+        advised, is_mesh_full = call.event.from_or_advised, self.random.random() < self.crankback_share
+        sampled = (
+            []
+            if is_mesh_full
+            else self.random.sample(tandem_numbers, min(len(tandem_numbers), TANDEM_SAMPLE_SIZE))
+        )
+        candidates: list[tuple[ExchangeRoute, float]] = []
         for number in dict.fromkeys(
-            [*dest.tandem_weights, *looked_at, *([advised] if advised in pool else [])]
+            [*direct_route.tandem_weights, *sampled, *([advised] if advised in tandem_numbers else [])]
         ):
-            far = self.by_number.get(number)
+            route = self.routes_by_number.get(number)
             if (
-                far is None
-                or not far.is_serving
-                or not far.circuits_free
-                or far.processor.state != NORMAL
-                or far is dest
+                route is None
+                or not route.is_serving
+                or not route.circuits_free
+                or route.processor.state != NORMAL
+                or route is direct_route
             ):
                 continue
-            rests = number in call.tried_tandems or dest.tandem_barred_until_ns.get(number, 0) > now
-            kept = self.reserve(far) * (2.0 - call.worth)  # a call of little worth is not worth two groups
-            if not rests and self.room(far, call, kept) and self.ready(far.processor, now, 0.0):
-                weight = dest.tandem_weights.get(number, WEIGHT_UNTRIED) * (
-                    far.circuits_free - self.reserve(far) + 1.0
+            is_barred = (
+                number in call.tried_tandems or direct_route.tandem_barred_until_ns.get(number, 0) > now_ns
+            )
+            # A call by way of a tandem occupies circuits of two groups: the lower its worth, the more are
+            # reserved.
+            reserved = self.trunk_reservation(route) * (2.0 - call.worth)
+            if (
+                not is_barred
+                and self.has_free_circuits(route, call, reserved)
+                and self.admits_call(route.processor, now_ns, 0.0)
+            ):
+                weight = direct_route.tandem_weights.get(number, UNTRIED_TANDEM_WEIGHT) * (
+                    route.circuits_free - self.trunk_reservation(route) + 1.0
                 )
-                options.append((far, weight))
-        extra = ADVICE_SHARE * sum(weight for _, weight in options)
-        weights = [weight + extra * (far.number == advised) for far, weight in options]
-        return self.random.choices(options, weights)[0][0] if options else None
-
-    def ready(self, cpu: Processor, now: int, tau: float) -> bool:
-        cpu.cold_rate_per_s = self.cold_rate(cpu, now) if cpu.started_at_ns else 0.0
-        return cpu.admits(now, tau)
-
-    def cold_rate(self, cpu: Processor, now: int) -> float:
-        """This agent's part of a just started processor's budget: under a call a window, a longer gap."""
-        warm, age = self.settings.warm_after_ns, max(0, now - cpu.started_at_ns)
-        if age >= warm:
+                candidates.append((route, weight))
+        advised_weight = ADVISED_TANDEM_SHARE * sum(weight for _, weight in candidates)
+        weights = [weight + advised_weight * (route.number == advised) for route, weight in candidates]
+        return self.random.choices(candidates, weights)[0][0] if candidates else None
+
+    def admits_call(self, processor: Processor, now_ns: int, tolerance: float) -> bool:
+        """Whether the processor admits a call now, after its cold rate was brought up to date."""
+        processor.cold_rate_per_s = (
+            self.allowed_cold_rate_per_s(processor, now_ns) if processor.started_at_ns else 0.0
+        )
+        return processor.admits(now_ns, tolerance)
+
+    def allowed_cold_rate_per_s(self, processor: Processor, now_ns: int) -> float:
+        """Set-ups per second that this controller may send to a starting processor; 0 for no limit.
+
+        It is this controller's part of the processor's budget. A part below one call per window becomes a
+        longer interval between calls.
+        """
+        warm_up_ns, age_ns = self.settings.warm_after_ns, max(0, now_ns - processor.started_at_ns)
+        if age_ns >= warm_up_ns:
             return 0.0
-        share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age / warm
-        agents = 1 if cpu is self.own else self.settings.agents
-        # What callers asked of it, not what is sent: in distress that is little and starves what returns,
-        # whatever the distress was; nor a mean of all pairs. Harm: calls of a flood count as usual ones.
-        usual = (
-            cpu.demand.count(now) * NS_PER_S / max(SENT_WINDOW_NS, min(DEMAND_WINDOW_NS, now - self.began_at))
-        )
-        return max(COLD_LEAST / agents, share * self.settings.cold_multiple * COLD_CAUTION * usual)
-
-    def send(self, call: Call, far: Far, now: int) -> None:
-        self.held.pop(call.id, None)
-        call.current_route, call.attempts = far, call.attempts + 1
-        if far.number != call.event.destination:
-            call.tried_tandems.add(far.number)
-        far.circuits_free = (
-            None if far.circuits_free is None else max(0, far.circuits_free - call.event.width)
-        )
-        far.processor.record_sent(now)
-        far.processor.pending.send_times_ns[call.id] = now
-        self.watched[far.exchange] = far
-        if far.processor.is_silent:  # the next trial does not wait for this one's caller to tire
-            far.processor.mark_silent(now, self.spread())
-        elif far.processor.sent.count(now, far.processor.base_validity_ns) > 1:
-            self.probe(far, self.far_probe_gap, now)
-        self.own.record_sent(now)
-        self.out.append(it.SetUp(call.id, far.exchange))  # abandoned when the caller's patience ends
-
-    def refuse(self, call: Call, reason: it.RefusalReason) -> None:
-        """A redial can only stand late: asked to come as late as it may, it leaves room for fresh calls.
-
-        After faults of the signalling at a processor that is not pressed there is nobody to make room for.
+        budget_share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age_ns / warm_up_ns
+        controllers = 1 if processor is self.local_processor else self.settings.agents
+        # The part follows what callers ask of this processor. What is sent to it would be the wrong measure:
+        # it is little during a failure, whatever its cause, and would starve an exchange that comes back. A
+        # mean over all pairs of exchanges is too little for busy pairs and more than quiet ones use. The
+        # drawback: calls of a flood count like usual ones.
+        demand_per_s = (
+            processor.demand.count(now_ns)
+            * NS_PER_S
+            / max(SENT_WINDOW_NS, min(DEMAND_WINDOW_NS, now_ns - self.first_handled_at_ns))
+        )
+        return max(
+            MIN_COLD_RATE_PER_S / controllers,
+            budget_share * self.settings.cold_multiple * COLD_BUDGET_SHARE * demand_per_s,
+        )
+
+    def send_set_up(self, call: Call, route: ExchangeRoute, now_ns: int) -> None:
+        """Starts an attempt on that route and counts it at both processors."""
+        self.queued_calls.pop(call.id, None)
+        call.current_route, call.attempts = route, call.attempts + 1
+        if route.number != call.event.destination:
+            call.tried_tandems.add(route.number)
+        route.circuits_free = (
+            None if route.circuits_free is None else max(0, route.circuits_free - call.event.width)
+        )
+        route.processor.record_sent(now_ns)
+        route.processor.pending.send_times_ns[call.id] = now_ns
+        self.watched_routes[route.exchange] = route
+        if route.processor.is_silent:
+            # The interval to the next trial call starts now, not when the caller of this one gives up.
+            route.processor.mark_silent(now_ns, self.random_spread())
+        elif route.processor.sent.count(now_ns, route.processor.base_validity_ns) > 1:
+            self.send_probe_if_due(route, self.probe_interval_ns, now_ns)
+        self.local_processor.record_sent(now_ns)
+        self.actions.append(it.SetUp(call.id, route.exchange))  # abandoned when the caller's patience ends
+
+    def refuse_call(self, call: Call, reason: it.RefusalReason) -> None:
+        """Refuses the call, with the advice when to redial if that may be given.
+
+        A redial can only be established late. It is asked to come as late as it may, which leaves room for
+        new calls. After a signalling fault at a processor that is not overloaded no room has to be made, and
+        it may come as soon as the release is over.
         """
-        dest, longest = self.by_number.get(call.event.destination), self.settings.longest_advice_ns
-        soon = call.had_signalling_fault and dest is not None and not self.pressed(dest)
-        after = min(self.settings.release_ns, longest) if soon else longest
-        advise = self.settings.may_advise_redial and not call.event.transit
-        self.forget(call.id, it.Refuse(call.id, after if advise else 0, reason))
-
-    def forget(self, call_id: str, *answer: it.Action) -> None:
-        self.out.extend(answer)
-        self.held.pop(call_id, None)
+        direct_route, longest_ns = (
+            self.routes_by_number.get(call.event.destination),
+            self.settings.longest_advice_ns,
+        )
+        may_come_soon = (
+            call.had_signalling_fault and direct_route is not None and not self.is_overloaded(direct_route)
+        )
+        redial_after_ns = min(self.settings.release_ns, longest_ns) if may_come_soon else longest_ns
+        gives_advice = self.settings.may_advise_redial and not call.event.transit
+        self.close_call(call.id, it.Refuse(call.id, redial_after_ns if gives_advice else 0, reason))
+
+    def close_call(self, call_id: str, *answer: it.Action) -> None:
+        """Forgets the call, after the final answer to it if one is given; unknown calls are ignored."""
+        self.actions.extend(answer)
+        self.queued_calls.pop(call_id, None)
         call = self.calls.pop(call_id, None)
         if call is not None and call.current_route is not None:
             call.current_route.processor.pending.remove(call_id)
 
-    def on_established(self, event: it.CallEstablished, now: int) -> None:
+    def on_call_established(self, event: it.CallEstablished, now_ns: int) -> None:
+        """Learns from an answered set-up: throughput, delay, or the weight of the tandem."""
         call = self.calls.get(event.call)
         if call is None or call.current_route is None or call.current_route.exchange != event.exchange:
             return
-        far, dest = call.current_route, self.by_number.get(call.event.destination, call.current_route)
-        if far is dest:  # what it has overtaken is lost, not slow
-            self.overtaken.update(
-                (lost, now) for lost in far.processor.pending.remove_with_overtaken(call.id)
+        route, direct_route = (
+            call.current_route,
+            self.routes_by_number.get(call.event.destination, call.current_route),
+        )
+        if route is direct_route:  # the set-ups that it has overtaken are lost, not slow
+            self.overtaken_calls.update(
+                (lost, now_ns) for lost in route.processor.pending.remove_with_overtaken(call.id)
             )
-        self.forget(call.id)
-        far.processor.established.add(now)
-        self.own.established.add(now)
-        if far is dest and now - event.delay_ns > self.stalled_at:
-            self.floor = min(self.floor, event.delay_ns)
-            far.processor.record_delay(event.delay_ns, now)
-        elif far is not dest:
-            self.weigh(dest, far, now, stood=True)
-        far.processor.record_response(now)
-
-    def weigh(self, dest: Far, tandem: Far, now: int, stood: bool) -> None:
-        weight = dest.tandem_weights.get(tandem.number, WEIGHT_UNTRIED)
-        self.turned_back += (float(not stood) - self.turned_back) * CRANKBACK_SMOOTHING
-        if stood:
-            dest.tandem_weights[tandem.number] = weight + (1.0 - weight) * WEIGHT_UP
+        self.close_call(call.id)
+        route.processor.established.add(now_ns)
+        self.local_processor.established.add(now_ns)
+        if route is direct_route and now_ns - event.delay_ns > self.stalled_at_ns:
+            self.min_delay_ns = min(self.min_delay_ns, event.delay_ns)
+            route.processor.record_delay(event.delay_ns, now_ns)
+        elif route is not direct_route:
+            self.update_tandem_weight(direct_route, route, now_ns, succeeded=True)
+        route.processor.record_response(now_ns)
+
+    def update_tandem_weight(
+        self, direct_route: ExchangeRoute, tandem: ExchangeRoute, now_ns: int, succeeded: bool
+    ) -> None:
+        """Adjusts the weight of a tandem towards a destination; bars one that returned the call."""
+        weight = direct_route.tandem_weights.get(tandem.number, UNTRIED_TANDEM_WEIGHT)
+        self.crankback_share += (float(not succeeded) - self.crankback_share) * CRANKBACK_SMOOTHING
+        if succeeded:
+            direct_route.tandem_weights[tandem.number] = weight + (1.0 - weight) * TANDEM_WEIGHT_GAIN
         else:
-            weight = dest.tandem_weights[tandem.number] = max(WEIGHT_LEAST, weight * WEIGHT_DOWN)
-            dest.tandem_barred_until_ns[tandem.number] = now + int(TURN_BACK_BAR_NS / weight)
+            weight = direct_route.tandem_weights[tandem.number] = max(
+                MIN_TANDEM_WEIGHT, weight * TANDEM_WEIGHT_LOSS
+            )
+            direct_route.tandem_barred_until_ns[tandem.number] = now_ns + int(CRANKBACK_BAR_NS / weight)
 
-    def on_ended(self, event: it.AttemptEnded, now: int) -> None:
-        self.read_report(event.exchange, event.report, now)
+    def on_attempt_ended(self, event: it.AttemptEnded, now_ns: int) -> None:
+        """Learns from an attempt that ended without an answered call, and decides on the call again."""
+        self.record_report(event.exchange, event.report, now_ns)
         call = self.calls.get(event.call)
         if call is None or call.current_route is None or event.attempt != call.attempts - 1:
             return
-        sent_to, call.current_route = call.current_route, None
-        self.overtaken.pop(call.id, None)
-        sent_to.processor.pending.remove(call.id)
-        self.learn_ending(call, sent_to, event, now)
+        route, call.current_route = call.current_route, None
+        self.overtaken_calls.pop(call.id, None)
+        route.processor.pending.remove(call.id)
+        self.learn_from_ending(call, route, event, now_ns)
         if event.call_over:
-            self.forget(call.id)
+            self.close_call(call.id)
         elif (
             event.ending is it.Ending.COMPLETED
             or event.cause is it.Cause.LINES_BUSY
-            or now >= call.patience_ends_at_ns
+            or now_ns >= call.patience_ends_at_ns
         ):
-            self.forget(call.id, it.Fail(call.id))  # another error is a signalling fault: it goes again
+            # Any other error is a signalling fault, after which the call is tried again.
+            self.close_call(call.id, it.Fail(call.id))
         else:
             if event.ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-                call.earliest_attempt_at_ns = now + self.settings.release_ns  # rule 5: the release is awaited
-            self.decide(call, now)
-
-    def learn_ending(self, call: Call, far: Far, event: it.AttemptEnded, now: int) -> None:
-        dest, cpu = self.by_number.get(call.event.destination, far), far.processor
+                call.earliest_attempt_at_ns = now_ns + self.settings.release_ns  # rule 5: await the release
+            self.decide_call(call, now_ns)
+
+    def learn_from_ending(
+        self, call: Call, route: ExchangeRoute, event: it.AttemptEnded, now_ns: int
+    ) -> None:
+        """Learns about processors, circuits, tandems and the number called from how an attempt ended."""
+        direct_route, processor = self.routes_by_number.get(call.event.destination, route), route.processor
         if event.ending in (it.Ending.NO_ANSWER, it.Ending.NO_CONNECTION):
-            cpu.unanswered += 1
-            unheard = cpu.unanswered > 1 and cpu.responded_at_ns < now - cpu.base_validity_ns // 2
-            if unheard or event.ending is it.Ending.NO_CONNECTION:
-                cpu.mark_silent(now, self.spread())
+            processor.unanswered += 1
+            is_unresponsive = (
+                processor.unanswered > 1
+                and processor.responded_at_ns < now_ns - processor.base_validity_ns // 2
+            )
+            if is_unresponsive or event.ending is it.Ending.NO_CONNECTION:
+                processor.mark_silent(now_ns, self.random_spread())
         elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.PROCESSOR_FULL:
-            call.earliest_attempt_at_ns = now + TRIAL_INTERVAL_NS  # the own processor is down
+            call.earliest_attempt_at_ns = now_ns + TRIAL_INTERVAL_NS  # the local processor is down
         elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.NO_CIRCUIT:
-            far.circuits_free = (
-                0  # not where it came too late or the exchange drains: the group has not changed
-            )
+            # A set-up that came too late, or met an exchange that drains, is not sent either; then the cause
+            # is another one, and the group has not changed.
+            route.circuits_free = 0
         elif event.ending is it.Ending.NUMBER_BUSY:
-            cpu.record_response(now)
+            processor.record_response(now_ns)
             if event.cause is it.Cause.LINES_BUSY:
-                self.busy.block(call.event.number_called, now, self.spread())
+                self.gapped_numbers.block(call.event.number_called, now_ns, self.random_spread())
             else:
                 call.had_signalling_fault = True
-                if far is not dest:
-                    self.weigh(dest, far, now, stood=False)
+                if route is not direct_route:
+                    self.update_tandem_weight(direct_route, route, now_ns, succeeded=False)
         elif event.ending is it.Ending.TURNED_AWAY:
-            cpu.record_response(now)
+            processor.record_response(now_ns)
             if event.cause in (it.Cause.PROCESSOR_FULL, it.Cause.BEYOND_FULL):
-                full = cpu if event.cause is it.Cause.PROCESSOR_FULL else dest.processor
-                full.reported_load, full.load_reported_at_ns = (
-                    BLOCKING_LOAD,
-                    now,
-                )  # its wait is beyond any aim: no set-up until it has drained
-                self.watched.update({far.exchange: far, dest.exchange: dest})
-            if far is not dest:
-                self.weigh(dest, far, now, stood=False)
-
-    def call_off_lost(self, now: int) -> None:
-        """A quick processor serves in turn: what later set-ups overtook is lost, and goes again in time.
-
-        Against one that leaves a share unanswered. Pressed ones take no turns, and can't bear the work twice.
+                full_processor = (
+                    processor if event.cause is it.Cause.PROCESSOR_FULL else direct_route.processor
+                )
+                # Its waiting time exceeds any target: no set-up is sent until it has worked off its queue.
+                full_processor.reported_load, full_processor.load_reported_at_ns = BLOCKING_LOAD, now_ns
+                self.watched_routes.update({route.exchange: route, direct_route.exchange: direct_route})
+            if route is not direct_route:
+                self.update_tandem_weight(direct_route, route, now_ns, succeeded=False)
+
+    def cancel_lost_attempts(self, now_ns: int) -> None:
+        """Cancels attempts that later set-ups have overtaken, so that these calls are sent again in time.
+
+        A processor without overload serves set-ups in their order, so that an overtaken one is lost; this
+        helps against a processor that leaves a part of them unanswered. An overloaded one keeps no order,
+        and can't bear the work twice.
         """
-        for call_id, at in list(self.overtaken.items()):
+        for call_id, overtaken_at_ns in list(self.overtaken_calls.items()):
             call = self.calls.get(call_id)
             if (
                 call is None
                 or call.current_route is None
                 or call.current_route.number != call.event.destination
             ):
-                del self.overtaken[call_id]  # behind a tandem there is another queue
-            elif not self.pressed(call.current_route) and self.is_lost(
-                call.current_route.processor, now - at, now
+                del self.overtaken_calls[call_id]  # the queue of the exchange behind a tandem is another one
+            elif not self.is_overloaded(call.current_route) and self.is_lost(
+                call.current_route.processor, now_ns - overtaken_at_ns, now_ns
             ):
-                del self.overtaken[call_id]
-                again = (
-                    now + self.settings.release_ns + int(max(0.0, call.current_route.processor.delay_ns))
+                del self.overtaken_calls[call_id]
+                can_retry = (
+                    now_ns + self.settings.release_ns + int(max(0.0, call.current_route.processor.delay_ns))
                     < call.patience_ends_at_ns
                 )
-                if again and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
-                    self.out.append(it.CancelAttempt(call.id, call.attempts - 1))
-
-    def is_lost(self, cpu: Processor, since: int, now: int) -> bool:
-        return since > max(LOST_NS, cpu.delay_ns) and cpu.established.count(now, since) >= LOST_BEHIND
+                if can_retry and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
+                    self.actions.append(it.CancelAttempt(call.id, call.attempts - 1))
+
+    def is_lost(self, processor: Processor, overtaken_for_ns: int, now_ns: int) -> bool:
+        """Whether a set-up that was overtaken that long ago will get no response any more."""
+        return (
+            overtaken_for_ns > max(LOST_AFTER_NS, processor.delay_ns)
+            and processor.established.count(now_ns, overtaken_for_ns) >= LOST_AFTER_SET_UPS
+        )
 
-    def spread(self) -> float:  # gaps are drawn around their middle, so that agents do not act in step
+    def random_spread(self) -> float:
+        """A random factor around 1 for intervals, so that the controllers do not act in step."""
         return 0.75 + 0.5 * self.random.random()
 
-    def look(self, now: int) -> None:
-        """At most once a tick: renew the entries, then try the held calls again, worthiest first."""
-        if now < self.timer_at:
+    def run_tick(self, now_ns: int) -> None:
+        """At most once per tick: updates the states, then tries the queued calls again, worthiest first."""
+        if now_ns < self.next_tick_at_ns:
             return
-        self.timer_at = now + TICK_NS
-        self.out.append(it.SetTimer(TICK_NS, 0))
-        if self.settings.list_on_request and now >= self.ask_at:
-            self.ask_at = now + self.settings.list_age_limit_ns // 2
-            self.out.append(it.FollowList())
-        self.judge(now)
-        self.call_off_lost(now)
-        for call in sorted(self.held.values(), key=lambda c: (-c.worth, c.queueing_ends_at_ns)):
-            del self.held[call.id]
-            self.decide(call, now)
-        self.probe(self.by_number.get(self.settings.own_number), PROBE_INTERVAL_NS // 2, now)
+        self.next_tick_at_ns = now_ns + TICK_NS
+        self.actions.append(it.SetTimer(TICK_NS, 0))
+        if self.settings.list_on_request and now_ns >= self.list_request_at_ns:
+            self.list_request_at_ns = now_ns + self.settings.list_age_limit_ns // 2
+            self.actions.append(it.FollowList())
+        self.update_states(now_ns)
+        self.cancel_lost_attempts(now_ns)
+        for call in sorted(
+            self.queued_calls.values(), key=lambda queued: (-queued.worth, queued.queueing_ends_at_ns)
+        ):
+            del self.queued_calls[call.id]
+            self.decide_call(call, now_ns)
+        self.send_probe_if_due(
+            self.routes_by_number.get(self.settings.own_number), PROBE_INTERVAL_NS // 2, now_ns
+        )
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -204,7 +204,7 @@
 
 def test_a_call_whose_next_try_would_come_too_late_is_answered_at_once() -> None:
     driver = PolicyDriver()
-    driver.policy.far["x2"].processor.mark_silent(
+    driver.policy.routes["x2"].processor.mark_silent(
         driver.now, 1.25
     )  # silent, its next trial is over a second away
     call, actions = driver.offer(2)
@@ -217,7 +217,7 @@
 
 def test_a_call_without_a_group_and_with_both_tandems_tried_is_answered_at_once() -> None:
     driver = PolicyDriver()
-    driver.policy.far["x2"].circuits_free = driver.policy.far["x2"].circuits_total = 0
+    driver.policy.routes["x2"].circuits_free = driver.policy.routes["x2"].circuits_total = 0
     call, actions = driver.offer(2)
     for attempt in range(2):
         assert not answers(actions)
@@ -235,7 +235,7 @@
 
 def test_a_call_is_not_held_before_a_gate_that_opens_after_its_time() -> None:
     driver = PolicyDriver()
-    cpu = driver.policy.far["x2"].processor
+    cpu = driver.policy.routes["x2"].processor
     first, _ = driver.offer(2)
     driver.end(first, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(first))
@@ -248,7 +248,7 @@
 def test_what_can_only_stand_late_is_answered_at_once_while_something_is_pressed() -> None:
     """Incident i334348: a thousand calls were held as late at a time, then refused."""
     driver = PolicyDriver()
-    own, cpu = driver.policy.own, driver.policy.far["x2"].processor
+    own, cpu = driver.policy.local_processor, driver.policy.routes["x2"].processor
     own.state, own.expires_at_ns, own.permitted_rate_per_s = 1, driver.now + 60 * S, 100.0  # in overload
     cpu.delay_ns, cpu.measured_at_ns = 1600.0 * MS, driver.now
     call, actions = driver.offer(2)
@@ -265,7 +265,7 @@
         if sent(actions):
             driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
         driver.wait(50)
-    cpu = driver.policy.far["x2"].processor
+    cpu = driver.policy.routes["x2"].processor
     assert (
         cpu.sent.rate_per_s(driver.now) < cpu.demand.rate_per_s(driver.now) / 5
         and cpu.validity_ns(driver.now) == 2 * S
@@ -283,7 +283,7 @@
             driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
             driver.tell(it.CallerLeft(call))
         driver.wait(25)
-        left.append(driver.policy.far["x2"].processor.expires_at_ns - driver.now)
+        left.append(driver.policy.routes["x2"].processor.expires_at_ns - driver.now)
     assert 2 * left[1] < left[0] and left[1] > 0
 
 
@@ -372,7 +372,7 @@
 
 def test_the_own_processor_is_trusted_again_soon_after_it_hung() -> None:
     """A hang left it curbed for 8 s more: no report tells what it takes, as it is told of far ends."""
-    own = PolicyDriver().policy.own
+    own = PolicyDriver().policy.local_processor
     for call in range(600):
         own.demand.add(94 * S + call * S // 100)
     own.apply_load(1.5, 100 * S, 0.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -65,27 +65,30 @@
     """A judge of every exchange against every other got full-size days cut off."""
     driver = PolicyDriver(settings=CROWDED, entries=listed(count))
     driver.wait(100)
-    driver.policy.watched, driver.policy.far = Counted(driver.policy.watched), Counted(driver.policy.far)
+    driver.policy.watched_routes, driver.policy.routes = (
+        Counted(driver.policy.watched_routes),
+        Counted(driver.policy.routes),
+    )
     driver.wait(25)
-    assert driver.policy.watched.looked_at == 0 and driver.policy.far.looked_at == 0
+    assert driver.policy.watched_routes.looked_at == 0 and driver.policy.routes.looked_at == 0
     driver.offer(2), driver.offer(3)
-    driver.policy.watched.looked_at = 0
+    driver.policy.watched_routes.looked_at = 0
     driver.wait(25)
-    assert 0 < driver.policy.watched.looked_at <= 5 * 2
+    assert 0 < driver.policy.watched_routes.looked_at <= 5 * 2
 
 
 def test_a_draw_looks_at_a_few_tandems_only() -> None:
     driver = PolicyDriver(settings=CROWDED, entries=listed(70))
     driver.circuits("x2", 0)
     looked: list[int] = []
-    whole = driver.policy.by_number
+    whole = driver.policy.routes_by_number
 
     class Looked(dict[int, Any]):
         def get(self, key: int, default: Any = None) -> Any:
             looked.append(key)
             return super().get(key, default)
 
-    driver.policy.by_number = Looked(whole)
+    driver.policy.routes_by_number = Looked(whole)
     assert sent(driver.offer(2)[1])
     assert len(looked) <= 20
 
@@ -149,8 +152,8 @@
         driver.circuits("x1", 20)
         driver.wait(1000, step_ms=500)
     policy = driver.policy
-    assert len(policy.far) < 10 and len(policy.watched) < 10
-    assert len(policy.busy.gaps) < 30 and len(policy.asked.first_times_ns) < 30
+    assert len(policy.routes) < 10 and len(policy.watched_routes) < 10
+    assert len(policy.gapped_numbers.gaps) < 30 and len(policy.first_offers.first_times_ns) < 30
 
 
 def test_the_more_tandems_turn_back_the_fewer_untried_ones_are_asked() -> None:
@@ -199,7 +202,7 @@
     driver.end(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.tell(it.CallerLeft(call))
     driver.wait(25)
-    driver.policy.far["x3"].processor.mark_silent(driver.now, 1.0)
+    driver.policy.routes["x3"].processor.mark_silent(driver.now, 1.0)
     gone = tuple(it.ListedExchange(f"x{number}", number, it.Listing.GONE) for number in (2, 3))
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, gone))
     driver.wait(500)
@@ -261,7 +264,9 @@
         driver.tell(
             it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x99", 2, started_ns=driver.now),))
         )
-        rates.append(driver.policy.cold_rate(driver.policy.by_number[2].processor, driver.now))
+        rates.append(
+            driver.policy.allowed_cold_rate_per_s(driver.policy.routes_by_number[2].processor, driver.now)
+        )
     assert rates[1] == pytest.approx(9 * rates[0]), "also for a machine that takes the place of the old one"
 
 
@@ -274,9 +279,9 @@
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
         driver.tell(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
-        driver.policy.far["x2"].processor.mark_silent(driver.now, 1.0)
+        driver.policy.routes["x2"].processor.mark_silent(driver.now, 1.0)
         driver.offer(2), driver.offer(2)
-        driver.policy.watched["x2"] = driver.policy.far["x2"]
+        driver.policy.watched_routes["x2"] = driver.policy.routes["x2"]
         for _ in range(400):
             probes += sum(isinstance(a, it.Probe) and a.exchange == "x2" for a in driver.wait(25))
     assert 0 < probes / 10 < 20, "a few a second by all together, the first ones included"
