--- a/arrowkeel/__init__.py
+++ b/arrowkeel/__init__.py
@@ -1,4 +1,4 @@
-"""arrowkeel: call control decisions for a mesh of switches, each agent seeing only its own traffic."""
+"""arrowkeel: call control for a mesh of switches, in which each controller sees only its own traffic."""
 
 from arrowkeel.policy import Policy
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -7,13 +7,13 @@
 
 from arrowkeel import Policy
 from arrowkeel import interface as it
-from tests.conftest import MS, SETTINGS, S, listed
+from tests.conftest import NS_PER_MS, NS_PER_S, SETTINGS, listed_exchanges
 
 STEPS = st.lists(
     st.tuples(st.sampled_from(["offer", "stand", "end", "list", "free", "wait"]), st.integers(0, 10**6)),
     max_size=80,
 )
-SLACK = 20 * MS  # as the settings of the deployments grant it
+SLACK = 20 * NS_PER_MS  # as the settings of the deployments grant it
 ENDINGS = [e for e in it.Ending if e is not it.Ending.COMPLETED]
 
 
@@ -22,14 +22,14 @@
 
     def __init__(self) -> None:
         self.policy = Policy(SETTINGS, seed=5)
-        self.now = 50 * S
+        self.now = 50 * NS_PER_S
         self.log: list[it.Action] = []
         self.out: dict[str, tuple[str, int]] = {}
         self.tries: dict[str, int] = {}
         self.ends: dict[str, int] = {}
         self.released: dict[str, int] = {}
         self.serving = {f"x{n}" for n in range(5)}
-        self.tell(it.ExchangeList(it.ListKind.REMEMBERED, listed()))
+        self.tell(it.ExchangeList(it.ListKind.REMEMBERED, listed_exchanges()))
 
     def tell(self, *events: it.Event) -> None:
         for action in self.policy.handle(self.now, list(events)):
@@ -48,7 +48,7 @@
 
     def wait(self, ms: int) -> None:
         for _ in range(ms // 5):
-            self.now += 5 * MS
+            self.now += 5 * NS_PER_MS
             for call, (exchange, attempt) in list(self.out.items()):
                 if self.now >= self.ends[call]:
                     self.end(call, exchange, attempt, it.Ending.NO_ANSWER)
@@ -64,7 +64,7 @@
         if what == "offer":
             call = f"c{len(self.log)}-{len(self.ends)}-{pick}"
             if call not in self.tries and call not in self.ends:
-                patience = (pick % 3000) * MS
+                patience = (pick % 3000) * NS_PER_MS
                 self.ends[call] = self.now + patience
                 transit, kind = pick % 7 == 0, ("plain", "worthy")[pick % 2]
                 self.tell(it.CallOffered(call, kind, 1 + pick % 4, patience, f"n{pick % 9}", transit=transit))
@@ -74,7 +74,7 @@
                 self.end(call, exchange, attempt, ENDINGS[pick % len(ENDINGS)])
             else:
                 del self.out[call], self.ends[call]
-                self.tell(it.CallEstablished(call, attempt, exchange, (pick % 2000) * MS))
+                self.tell(it.CallEstablished(call, attempt, exchange, (pick % 2000) * NS_PER_MS))
         elif what == "list":
             number = 1 + pick % 4
             serving = pick % 3 > 0
