--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures met on the bench, each as a small test of the module alone."""
+"""Regression tests of `Policy` alone: one for each failure that a run of the whole system has shown."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.conftest import NS_PER_MS, NS_PER_S, SETTINGS, PolicyDriver, final_answers, sent_to
 
 
-def test_a_full_processor_is_left_alone_for_the_validity_time() -> None:
-    """Incident i6a95c2: the same call went straight back to the processor that had turned it away."""
+def test_a_full_processor_gets_no_calls_for_the_validity_time() -> None:
+    """Prevents a rejected call from being sent back to the full processor at once (incident i6a95c2)."""
     driver = PolicyDriver()
     call, _ = driver.offer(2)
     actions = driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
@@ -22,7 +22,7 @@
     assert sent_to(actions + driver.wait(800), call) in ([], ["x2"])
 
 
-def test_a_full_processor_beyond_a_tandem_curbs_the_destination_not_the_tandem() -> None:
+def test_a_full_processor_beyond_a_tandem_throttles_the_destination_not_the_tandem() -> None:
     driver = PolicyDriver()
     driver.report_circuits("x2", 0)
     call, actions = driver.offer(2)
@@ -37,16 +37,16 @@
     driver = PolicyDriver()
     call, _ = driver.offer(2, number_called="hot")
     driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
-    again, actions = driver.offer(2, number_called="hot")
-    assert not sent_to(actions) and final_answers(actions, again)
+    redial, actions = driver.offer(2, number_called="hot")
+    assert not sent_to(actions) and final_answers(actions, redial)
     assert sent_to(driver.offer(2)[1]) == ["x2"]
 
 
-def test_a_redial_past_the_first_aim_leaves_the_last_circuits_to_fresh_calls() -> None:
+def test_a_redial_after_the_first_target_leaves_the_last_circuits_to_new_calls() -> None:
     driver = PolicyDriver()
     driver.report_circuits("x2", 0)
-    for number in ("x1", "x3", "x4"):
-        driver.report_circuits(number, 0)
+    for exchange in ("x1", "x3", "x4"):
+        driver.report_circuits(exchange, 0)
     first, _ = driver.offer(2, number_called="again", class_name="worthy")
     assert final_answers(driver.wait(1400), first)
     driver.wait(300)
@@ -56,18 +56,18 @@
     assert sent_to(driver.offer(2, class_name="worthy")[1]) == ["x2"]
 
 
-def test_the_last_circuits_are_kept_from_transit_and_alternative_calls() -> None:
+def test_the_last_circuits_are_reserved_against_transit_calls_and_calls_by_way_of_a_tandem() -> None:
     driver = PolicyDriver()
-    for number in ("x1", "x2", "x3", "x4"):
-        driver.report_circuits(number, 3)
+    for exchange in ("x1", "x2", "x3", "x4"):
+        driver.report_circuits(exchange, 3)
     assert not sent_to(driver.offer(2, transit=True, from_or_advised=1)[1])
     driver.report_circuits("x2", 0)
     assert not sent_to(driver.offer(2)[1])
     assert sent_to(driver.offer(3)[1]) == ["x3"]
 
 
-def silence(driver: PolicyDriver) -> None:
-    """x2 answers nothing while x1 and x3 answer as always."""
+def make_silent(driver: PolicyDriver) -> None:
+    """For two seconds x2 answers nothing, while x1 and x3 answer as always."""
     for _ in range(40):
         driver.offer(2)
         for exchange in ("x1", "x3"):
@@ -78,32 +78,35 @@
         driver.wait(50)
 
 
-def test_a_silent_far_end_gets_trial_calls_only_and_the_rest_is_untouched() -> None:
+def test_a_silent_exchange_gets_only_trial_calls_and_the_others_are_unaffected() -> None:
     driver = PolicyDriver()
-    silence(driver)
+    make_silent(driver)
     trials = [action for _ in range(40) for action in driver.offer(2)[1] + driver.wait(50)]
     assert 0 < sent_to(trials).count("x2") <= 4
     assert sent_to(driver.offer(1)[1]) == ["x1"]
 
 
-def test_a_silent_far_end_is_used_again_after_one_answer() -> None:
+def test_a_silent_exchange_is_used_again_after_one_answer() -> None:
     driver = PolicyDriver()
-    silence(driver)
+    make_silent(driver)
     actions = [action for _ in range(50) for action in driver.offer(2)[1] + driver.wait(50)]
     trial = next(a for a in actions if isinstance(a, it.SetUp) and a.exchange == "x2")
     driver.establish(trial.call, "x2")
-    went = 0
+    sent_count = 0
     for _ in range(100):
         for action in driver.offer(2)[1] + driver.wait(50):
             if isinstance(action, it.SetUp) and action.exchange == "x2":
                 driver.establish(action.call, "x2")
                 driver.report_circuits("x2", 20)
-                went += 1
-    assert went > 8
+                sent_count += 1
+    assert sent_count > 8
 
 
-def test_dead_far_ends_do_not_shut_the_own_gate() -> None:
-    """Incident i243dd2: with most exchanges dead the living ones refused each other."""
+def test_dead_exchanges_do_not_overload_the_local_processor() -> None:
+    """Missing answers of dead exchanges are no local delay (incident i243dd2).
+
+    Most exchanges were dead, and the remaining ones refused the calls between each other.
+    """
     driver = PolicyDriver()
     for _ in range(40):
         for number in (2, 3, 4):
@@ -117,8 +120,8 @@
     assert sent_to(driver.offer(1)[1]) == ["x1"]
 
 
-def test_an_own_stand_still_is_not_taken_for_slow_far_ends() -> None:
-    """Incident i3468b7: after a pause of the agent itself every outcome looks late."""
+def test_a_stall_of_the_own_process_is_not_taken_for_slow_exchanges() -> None:
+    """After a pause of the controller itself every outcome looks late (incident i3468b7)."""
     driver = PolicyDriver()
     calls = [(driver.offer(number)[0], f"x{number}") for number in (1, 2, 3, 4)]
     for call, exchange in calls:
@@ -130,7 +133,7 @@
     assert sent_to(driver.offer(1)[1]) == ["x1"]
 
 
-def test_delay_towards_all_far_ends_curbs_own_calls() -> None:
+def test_delay_towards_all_exchanges_throttles_calls_of_the_local_processor() -> None:
     driver = PolicyDriver()
     for delay in (50, 900, 1200, 1400):
         for number in (1, 2, 3, 4):
@@ -138,8 +141,8 @@
             driver.establish(call, f"x{number}", delay_ms=delay)
             driver.report_circuits(f"x{number}", 20)
         driver.wait(25)
-    went = [sent_to(driver.offer(1 + turn % 4)[1]) for turn in range(40)]
-    assert sum(map(bool, went)) < 20
+    attempts = [sent_to(driver.offer(1 + index % 4)[1]) for index in range(40)]
+    assert sum(map(bool, attempts)) < 20
 
 
 @pytest.mark.parametrize(
@@ -150,7 +153,7 @@
         (it.Reporting.IN_ANSWERS, it.Report(20, 60, busy_share=5.0, queued=1e12)),
     ],
 )
-def test_a_reported_load_holds_calls_back(reporting: it.Reporting, report: it.Report) -> None:
+def test_a_reported_load_throttles_calls(reporting: it.Reporting, report: it.Report) -> None:
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=reporting, may_probe=True))
     driver.send_events(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, report))
     driver.wait(25)
@@ -163,7 +166,7 @@
     assert len(sent_to([a for _ in range(15) for a in driver.offer(2)[1]])) == 15
 
 
-def test_contradictory_events_are_borne() -> None:
+def test_contradictory_events_are_tolerated() -> None:
     driver = PolicyDriver()
     twice = (it.ListedExchange("x2", 2), it.ListedExchange("x2", 2, it.Listing.DRAINING))
     driver.send_events(it.ExchangeList(it.ListKind.CHANGES, twice), it.ExchangeList(it.ListKind.FAILED))
@@ -176,45 +179,43 @@
 
 
 def test_pools_are_served_first_choice_then_another_pool_of_the_class() -> None:
-    pools = replace(
+    pool_settings = replace(
         SETTINGS,
         own_number=-1,
         is_mesh=False,
         classes=(it.CallClass("plain", 1500 * NS_PER_MS, 9 * NS_PER_S, pools=(1, 3)),),
     )
-    driver = PolicyDriver(settings=pools)
+    driver = PolicyDriver(settings=pool_settings)
     assert sent_to(driver.offer(1)[1]) == ["x1"]
     driver.report_circuits("x1", 0)
     assert sent_to(driver.offer(1)[1]) == ["x3"]
 
 
-def refused_at_once(actions: list[it.Action], call: str) -> bool:
-    """The caller is told at once, and told to come back as late as it may be asked to."""
+def is_refused_at_once(actions: list[it.Action], call: str) -> bool:
+    """Whether these actions refuse the call with the longest advice to redial, and are its only answer."""
     return final_answers(actions, call) == [it.Refuse(call, SETTINGS.longest_advice_ns)]
 
 
 def test_a_call_to_a_gone_or_unknown_exchange_is_answered_at_once() -> None:
-    """A call is held only while it can still be sent and stand, never to keep its caller from redialling."""
+    """A call is queued only while it can still be established, never to keep its caller from redialling."""
     driver = PolicyDriver()
     driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.GONE),)))
     for destination in (2, 77):
         call, actions = driver.offer(destination)
-        assert refused_at_once(actions, call)
+        assert is_refused_at_once(actions, call)
 
 
-def test_a_call_whose_next_try_would_come_too_late_is_answered_at_once() -> None:
+def test_a_call_whose_next_attempt_would_come_too_late_is_answered_at_once() -> None:
     driver = PolicyDriver()
-    driver.policy.routes["x2"].processor.mark_silent(
-        driver.now_ns, 1.25
-    )  # silent, its next trial is over a second away
+    # The exchange is silent, and its next trial call is over a second away.
+    driver.policy.routes["x2"].processor.mark_silent(driver.now_ns, 1.25)
     call, actions = driver.offer(2)
-    assert refused_at_once(actions, call)
+    assert is_refused_at_once(actions, call)
     call, _ = driver.offer(1)
     driver.wait(200)
-    actions = driver.end_attempt(
-        call, "x1", it.Ending.NOT_SENT, it.Cause.PROCESSOR_FULL
-    )  # the own one is down
-    assert refused_at_once(actions, call)
+    # The local processor is down.
+    actions = driver.end_attempt(call, "x1", it.Ending.NOT_SENT, it.Cause.PROCESSOR_FULL)
+    assert is_refused_at_once(actions, call)
 
 
 def test_a_call_without_a_group_and_with_both_tandems_tried_is_answered_at_once() -> None:
@@ -225,172 +226,195 @@
         assert not final_answers(actions)
         tandem = sent_to(actions, call)[0]
         actions = driver.end_attempt(call, tandem, it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK, attempt)
-    assert refused_at_once(actions, call)
+    assert is_refused_at_once(actions, call)
 
 
-def test_a_call_that_can_still_be_sent_is_held() -> None:
+def test_a_call_that_can_still_be_sent_is_queued() -> None:
     driver = PolicyDriver(circuits_free=0)
     call, actions = driver.offer(2)
     assert not final_answers(actions) and not sent_to(actions)
     assert sent_to(driver.report_circuits("x2", 5), call) + sent_to(driver.wait(25), call) == ["x2"]
 
 
-def test_a_call_is_not_held_before_a_gate_that_opens_after_its_time() -> None:
+def test_a_call_is_not_queued_for_an_admission_that_comes_after_its_time() -> None:
     driver = PolicyDriver()
-    cpu = driver.policy.routes["x2"].processor
+    processor = driver.policy.routes["x2"].processor
     first, _ = driver.offer(2)
     driver.end_attempt(first, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.send_events(it.CallerLeft(first))
     driver.wait(25)
-    assert cpu.expires_at_ns - driver.now_ns > 1500 * NS_PER_MS, (
-        "nothing out, no reports: shut for the validity time"
+    assert processor.expires_at_ns - driver.now_ns > 1500 * NS_PER_MS, (
+        "no pending set-up, no reports: blocked for the validity time"
     )
     call, actions = driver.offer(2)
-    assert refused_at_once(actions, call)
+    assert is_refused_at_once(actions, call)
 
 
-def test_what_can_only_stand_late_is_answered_at_once_while_something_is_pressed() -> None:
-    """Incident i334348: a thousand calls were held as late at a time, then refused."""
+def test_a_call_that_would_be_late_is_answered_at_once_during_overload() -> None:
+    """Prevents queueing late calls only to refuse them later (incident i334348: a thousand at a time)."""
     driver = PolicyDriver()
-    own, cpu = driver.policy.local_processor, driver.policy.routes["x2"].processor
-    own.state, own.expires_at_ns, own.permitted_rate_per_s = (
+    local_processor, processor = driver.policy.local_processor, driver.policy.routes["x2"].processor
+    # The local processor is in the overload state (1).
+    local_processor.state, local_processor.expires_at_ns, local_processor.permitted_rate_per_s = (
         1,
         driver.now_ns + 60 * NS_PER_S,
         100.0,
-    )  # in overload
-    cpu.delay_ns, cpu.measured_at_ns = 1600.0 * NS_PER_MS, driver.now_ns
+    )
+    processor.delay_ns, processor.measured_at_ns = 1600.0 * NS_PER_MS, driver.now_ns
     call, actions = driver.offer(2)
-    assert refused_at_once(actions, call)
-    own.state = 0
-    assert sent_to(driver.offer(2)[1]) == ["x2"], "nothing is pressed: late is better than never"
+    assert is_refused_at_once(actions, call)
+    local_processor.state = 0
+    assert sent_to(driver.offer(2)[1]) == ["x2"], "nothing is overloaded: late is better than never"
+
 
+def test_a_blocked_processor_does_not_prolong_its_own_state() -> None:
+    """The validity time must not grow because the block itself makes calls rare.
 
-def test_a_shut_gate_does_not_make_its_own_news_last_longer() -> None:
-    """What it let pass was rare by its own doing, so that each block lasted twice as long as the design's."""
+    Each block lasted twice as long as designed while only the calls that were let pass were counted.
+    """
     driver = PolicyDriver()
     for _ in range(400):
         call, actions = driver.offer(2)
         if sent_to(actions):
             driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
         driver.wait(50)
-    cpu = driver.policy.routes["x2"].processor
+    processor = driver.policy.routes["x2"].processor
     assert (
-        cpu.sent.rate_per_s(driver.now_ns) < cpu.demand.rate_per_s(driver.now_ns) / 5
-        and cpu.validity_ns(driver.now_ns) == 2 * NS_PER_S
+        processor.sent.rate_per_s(driver.now_ns) < processor.demand.rate_per_s(driver.now_ns) / 5
+        and processor.validity_ns(driver.now_ns) == 2 * NS_PER_S
     )
 
 
-def test_spans_shrink_with_the_aims() -> None:
-    """With aims of half a second a block of seconds outlived the distress that it guarded against."""
-    short = replace(
+def test_intervals_shrink_with_the_targets() -> None:
+    """With targets of half a second, a block of several seconds outlived the overload behind it."""
+    short_targets = replace(
         SETTINGS, classes=(it.CallClass("plain", aim_ns=500 * NS_PER_MS, give_up_ns=3 * NS_PER_S),)
     )
-    left = []
-    for settings in (SETTINGS, short):
+    remaining_ns = []
+    for settings in (SETTINGS, short_targets):
         driver = PolicyDriver(settings=settings)
         for _ in range(10):
             call, _ = driver.offer(2)
             driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
             driver.send_events(it.CallerLeft(call))
         driver.wait(25)
-        left.append(driver.policy.routes["x2"].processor.expires_at_ns - driver.now_ns)
-    assert 2 * left[1] < left[0] and left[1] > 0
+        remaining_ns.append(driver.policy.routes["x2"].processor.expires_at_ns - driver.now_ns)
+    assert 2 * remaining_ns[1] < remaining_ns[0] and remaining_ns[1] > 0
 
 
-def test_in_overload_below_h_the_rate_rises_at_once_to_an_even_share_of_what_is_reported() -> None:
-    """From one set-up a second it grew for five seconds while the processor answered within 30 ms."""
+def test_below_the_overload_threshold_the_rate_rises_at_once_to_an_equal_share_of_the_reported_one() -> None:
+    """A rate that only grows step by step from one set-up per second lags behind a recovered processor.
+
+    It took five seconds while the processor answered within 30 ms.
+    """
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
     call, _ = driver.offer(2)
     driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.send_events(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.Report(20, 60, accepted_per_s=60.0)))
-    went = 0
-    for _ in range(200):  # five seconds, two of them in blocking
+    sent_count = 0
+    for _ in range(200):  # five seconds, two of them in the blocking state
         for action in driver.offer(2)[1] + driver.wait(25):
             if isinstance(action, it.SetUp):
-                went += 1
+                sent_count += 1
                 driver.establish(action.call, "x2", delay_ms=30)
                 driver.report_circuits("x2", 20)
-    assert went > 25, "of 60 a second a fifth is 12, for nearly three seconds"
+    assert sent_count > 25, "a fifth of 60 per second is 12, for nearly three seconds"
+
 
+def send_overtaken_call(driver: PolicyDriver, tandem: str = "") -> tuple[str, list[it.Action]]:
+    """Leaves a set-up for x2 unanswered while three later ones are answered.
 
-def overtaken(driver: PolicyDriver, turn: str = "") -> tuple[str, list[it.Action]]:
-    """A set-up to x2 that stays without an answer while the next ones stand, and what is done by then."""
-    if turn:
+    The set-up goes to x2 itself, or by way of a tandem if `tandem` is not empty. Returns the call and an
+    empty list.
+    """
+    if tandem:
         driver.report_circuits("x2", 0)
     lost, actions = driver.offer(2)
-    assert not turn or sent_to(actions, lost) != ["x2"]
+    assert not tandem or sent_to(actions, lost) != ["x2"]
     driver.report_circuits("x2", 20)
     for _ in range(3):
         driver.wait(25)
-        next_one, _ = driver.offer(2)
+        later, _ = driver.offer(2)
         driver.wait(25)
-        driver.establish(next_one, "x2")
+        driver.establish(later, "x2")
     return lost, []
 
 
-def test_a_set_up_that_a_later_one_overtook_is_called_off_and_goes_again() -> None:
-    """A processor may answer two thirds at once and the rest never: those used to sit out their time."""
+def test_an_overtaken_set_up_is_cancelled_and_sent_again() -> None:
+    """A processor may answer two thirds of its set-ups at once and the others never.
+
+    Without the cancellation those calls wait until their time is over.
+    """
     driver = PolicyDriver(replace(SETTINGS, may_cancel=True))
-    lost, actions = overtaken(driver)
+    lost, actions = send_overtaken_call(driver)
     actions += driver.wait(75)
     assert [a for a in actions if not isinstance(a, it.SetTimer)] == [it.CancelAttempt(lost, 0)]
     driver.end_attempt(lost, "x2", it.Ending.CALLED_OFF)
     assert not sent_to(driver.wait(375), lost) and sent_to(driver.wait(75), lost) == ["x2"]
 
 
-@pytest.mark.parametrize("why", ["answered after all", "behind a tandem", "too late to go again", "barred"])
-def test_nothing_else_is_called_off(why: str) -> None:
-    driver = PolicyDriver(replace(SETTINGS, may_cancel=why != "barred"))
-    lost, actions = overtaken(driver, "tandem" if why == "behind a tandem" else "")
-    if why == "answered after all":
+@pytest.mark.parametrize(
+    "case", ["answered after all", "behind a tandem", "too late to send again", "not permitted"]
+)
+def test_nothing_else_is_cancelled(case: str) -> None:
+    driver = PolicyDriver(replace(SETTINGS, may_cancel=case != "not permitted"))
+    lost, actions = send_overtaken_call(driver, "tandem" if case == "behind a tandem" else "")
+    if case == "answered after all":
         driver.establish(lost, "x2")
-    if why == "too late to go again":
+    if case == "too late to send again":
         driver.now_ns += 2500 * NS_PER_MS
     actions += driver.wait(100)
     assert not [a for a in actions if isinstance(a, it.CancelAttempt)]
 
 
-@pytest.mark.parametrize(("cause", "room"), [(it.Cause.UNSAID, True), (it.Cause.NO_CIRCUIT, False)])
-def test_what_left_too_late_says_nothing_of_the_group(cause: it.Cause, room: bool) -> None:
-    """On sockets a set-up that waited past its time is not sent either; the group has room as before."""
+@pytest.mark.parametrize(("cause", "has_circuits"), [(it.Cause.UNSAID, True), (it.Cause.NO_CIRCUIT, False)])
+def test_a_set_up_that_came_too_late_says_nothing_about_the_group(
+    cause: it.Cause, has_circuits: bool
+) -> None:
+    """A set-up that waited on its connection past its time is not sent either, but the group is not full."""
     driver = PolicyDriver()
     call, _ = driver.offer(2)
     driver.end_attempt(call, "x2", it.Ending.NOT_SENT, cause)
-    assert (sent_to(driver.offer(2)[1]) == ["x2"]) is room
+    assert (sent_to(driver.offer(2)[1]) == ["x2"]) is has_circuits
+
 
+def test_a_signalling_fault_is_tried_again_and_a_busy_number_is_not() -> None:
+    """A signalling error must not fail the call (incident raa7010).
 
-def test_a_fault_of_the_signalling_is_tried_again_and_a_busy_number_is_not() -> None:
-    """Incident raa7010: an exchange ended four in five set-ups in errors at once, and the calls failed."""
+    An exchange ended four of five set-ups with an error at once, and all these calls failed.
+    """
     driver = PolicyDriver(replace(SETTINGS, attempt_limit=3))
     call, actions = driver.offer(2)
     for attempt in range(3):
         assert sent_to(actions, call) == ["x2"]
         actions = driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, attempt=attempt)
-    assert final_answers(actions, call) == [it.Refuse(call, SETTINGS.release_ns)]  # nobody to make room for
+    # The caller may redial soon, because no room has to be made for other calls.
+    assert final_answers(actions, call) == [it.Refuse(call, SETTINGS.release_ns)]
     call, _ = driver.offer(2)
     actions = driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
     assert final_answers(actions, call) == [it.Fail(call)]
 
 
-def test_moments_are_forgotten_also_when_nobody_counts_them() -> None:
-    """A long calm day would else fill the memory with the times of calls that stood."""
-    times = SlidingWindow(10 * NS_PER_S)
+def test_expired_times_are_dropped_also_when_nobody_counts_them() -> None:
+    """Otherwise the times of established calls would fill the memory on a long day without overload."""
+    window = SlidingWindow(10 * NS_PER_S)
     for second in range(100):
-        times.add(second * NS_PER_S)
-    assert len(times.times_ns) <= 10
+        window.add(second * NS_PER_S)
+    assert len(window.times_ns) <= 10
 
 
-def test_the_own_processor_is_trusted_again_soon_after_it_hung() -> None:
-    """A hang left it curbed for 8 s more: no report tells what it takes, as it is told of far ends."""
-    own = PolicyDriver().policy.local_processor
+def test_the_rate_of_the_local_processor_recovers_soon_after_it_hung() -> None:
+    """After a hang the local processor stayed throttled for 8 s.
+
+    Unlike a remote exchange it reports no rate that it accepts, so the rate has to grow by itself.
+    """
+    local_processor = PolicyDriver().policy.local_processor
     for call in range(600):
-        own.demand.add(94 * NS_PER_S + call * NS_PER_S // 100)
-    own.apply_load(1.5, 100 * NS_PER_S, 0.0)
+        local_processor.demand.add(94 * NS_PER_S + call * NS_PER_S // 100)
+    local_processor.apply_load(1.5, 100 * NS_PER_S, 0.0)
     for step in range(1, 8):
-        own.throttled_at_ns = now = (
-            100 * NS_PER_S + step * NS_PER_S // 2
-        )  # calls press at the gate all the while
-        own.apply_load(0.0, now, 0.0)
-    assert (
-        own.state != 0 and 60 < own.permitted_rate_per_s < 110
-    )  # as many a second as callers and their redials ask for
+        # Calls are throttled all the time.
+        local_processor.throttled_at_ns = now_ns = 100 * NS_PER_S + step * NS_PER_S // 2
+        local_processor.apply_load(0.0, now_ns, 0.0)
+    # The rate is as high as what callers ask for, with their redials.
+    assert local_processor.state != 0 and 60 < local_processor.permitted_rate_per_s < 110
