--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences against rules 1, 2, 3 and 5, and equal input against equal output."""
+"""Plays random legal event sequences: rules 1, 2, 3 and 5 hold, and equal input gives equal output."""
 
 from __future__ import annotations
 
@@ -10,97 +10,117 @@
 from tests.conftest import NS_PER_MS, NS_PER_S, SETTINGS, listed_exchanges
 
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["offer", "stand", "end", "list", "free", "wait"]), st.integers(0, 10**6)),
+    st.tuples(st.sampled_from(["offer", "establish", "end", "list", "free", "wait"]), st.integers(0, 10**6)),
     max_size=80,
 )
-SLACK = 20 * NS_PER_MS  # as the settings of the deployments grant it
+ANSWER_SLACK_NS = 20 * NS_PER_MS  # by which a final answer may be late; as in the deployments
 ENDINGS = [e for e in it.Ending if e is not it.Ending.COMPLETED]
 
 
-class World:
-    """Plays what the steps say against a policy and checks every action as it comes."""
+class RuleChecker:
+    """Plays steps against a policy as its environment would, and checks the rules on each action as it comes.
+
+    The dictionaries have the call as key: the attempt in progress, the number of attempts sent, the end of
+    the caller's patience, and the time at which the release of its last attempt is over.
+    """
 
     def __init__(self) -> None:
         self.policy = Policy(SETTINGS, seed=5)
-        self.now = 50 * NS_PER_S
-        self.log: list[it.Action] = []
-        self.out: dict[str, tuple[str, int]] = {}
-        self.tries: dict[str, int] = {}
-        self.ends: dict[str, int] = {}
-        self.released: dict[str, int] = {}
+        self.now_ns = 50 * NS_PER_S
+        self.actions: list[it.Action] = []
+        self.attempts_in_progress: dict[str, tuple[str, int]] = {}
+        self.attempt_counts: dict[str, int] = {}
+        self.patience_ends_at_ns: dict[str, int] = {}
+        self.released_at_ns: dict[str, int] = {}
         self.serving = {f"x{n}" for n in range(5)}
-        self.tell(it.ExchangeList(it.ListKind.REMEMBERED, listed_exchanges()))
+        self.send_events(it.ExchangeList(it.ListKind.REMEMBERED, listed_exchanges()))
 
-    def tell(self, *events: it.Event) -> None:
-        for action in self.policy.handle(self.now, list(events)):
-            self.log.append(action)
+    def send_events(self, *events: it.Event) -> None:
+        """Passes events to the policy and checks the actions that it returns."""
+        for action in self.policy.handle(self.now_ns, list(events)):
+            self.actions.append(action)
             if isinstance(action, it.SetUp):
-                assert action.call in self.ends, "rule 1: sent after its end"
-                assert action.call not in self.out, "rule 2: two attempts out"
-                assert action.exchange in self.serving, "rule 3: sent to a drained exchange"
-                assert self.now >= self.released.get(action.call, 0), "rule 5: release not awaited"
-                self.out[action.call] = (action.exchange, self.tries.get(action.call, 0))
-                self.tries[action.call] = self.tries.get(action.call, 0) + 1
+                assert action.call in self.patience_ends_at_ns, "rule 1: sent after the final answer"
+                assert action.call not in self.attempts_in_progress, "rule 2: two attempts in progress"
+                assert action.exchange in self.serving, "rule 3: sent to a draining exchange"
+                assert self.now_ns >= self.released_at_ns.get(action.call, 0), "rule 5: release not awaited"
+                self.attempts_in_progress[action.call] = (
+                    action.exchange,
+                    self.attempt_counts.get(action.call, 0),
+                )
+                self.attempt_counts[action.call] = self.attempt_counts.get(action.call, 0) + 1
             elif isinstance(action, it.Refuse | it.Fail):
-                assert action.call in self.ends, "rule 1: two final answers"
-                assert action.call not in self.out
-                assert self.now <= self.ends.pop(action.call) + SLACK, "rule 1: too late"
+                assert action.call in self.patience_ends_at_ns, "rule 1: two final answers"
+                assert action.call not in self.attempts_in_progress
+                assert self.now_ns <= self.patience_ends_at_ns.pop(action.call) + ANSWER_SLACK_NS, (
+                    "rule 1: too late"
+                )
 
     def wait(self, ms: int) -> None:
+        """Lets time pass; attempts end when their caller's patience does."""
         for _ in range(ms // 5):
-            self.now += 5 * NS_PER_MS
-            for call, (exchange, attempt) in list(self.out.items()):
-                if self.now >= self.ends[call]:
-                    self.end(call, exchange, attempt, it.Ending.NO_ANSWER)
-            self.tell(it.TimerRang(0))
-
-    def end(self, call: str, exchange: str, attempt: int, ending: it.Ending) -> None:
-        del self.out[call]
+            self.now_ns += 5 * NS_PER_MS
+            for call, (exchange, attempt) in list(self.attempts_in_progress.items()):
+                if self.now_ns >= self.patience_ends_at_ns[call]:
+                    self.end_attempt(call, exchange, attempt, it.Ending.NO_ANSWER)
+            self.send_events(it.TimerRang(0))
+
+    def end_attempt(self, call: str, exchange: str, attempt: int, ending: it.Ending) -> None:
+        """Ends an attempt in progress without an answered call."""
+        del self.attempts_in_progress[call]
         if ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-            self.released[call] = self.now + SETTINGS.release_ns
-        self.tell(it.AttemptEnded(call, attempt, exchange, ending))
-
-    def step(self, what: str, pick: int) -> None:
-        if what == "offer":
-            call = f"c{len(self.log)}-{len(self.ends)}-{pick}"
-            if call not in self.tries and call not in self.ends:
-                patience = (pick % 3000) * NS_PER_MS
-                self.ends[call] = self.now + patience
-                transit, kind = pick % 7 == 0, ("plain", "worthy")[pick % 2]
-                self.tell(it.CallOffered(call, kind, 1 + pick % 4, patience, f"n{pick % 9}", transit=transit))
-        elif what in ("stand", "end") and self.out:
-            call, (exchange, attempt) = sorted(self.out.items())[pick % len(self.out)]
-            if what == "end":
-                self.end(call, exchange, attempt, ENDINGS[pick % len(ENDINGS)])
+            self.released_at_ns[call] = self.now_ns + SETTINGS.release_ns
+        self.send_events(it.AttemptEnded(call, attempt, exchange, ending))
+
+    def play_step(self, kind: str, pick: int) -> None:
+        """Plays one step of that kind; `pick` determines its details."""
+        if kind == "offer":
+            call = f"c{len(self.actions)}-{len(self.patience_ends_at_ns)}-{pick}"
+            if call not in self.attempt_counts and call not in self.patience_ends_at_ns:
+                patience_ns = (pick % 3000) * NS_PER_MS
+                self.patience_ends_at_ns[call] = self.now_ns + patience_ns
+                transit, class_name = pick % 7 == 0, ("plain", "worthy")[pick % 2]
+                self.send_events(
+                    it.CallOffered(
+                        call, class_name, 1 + pick % 4, patience_ns, f"n{pick % 9}", transit=transit
+                    )
+                )
+        elif kind in ("establish", "end") and self.attempts_in_progress:
+            call, (exchange, attempt) = sorted(self.attempts_in_progress.items())[
+                pick % len(self.attempts_in_progress)
+            ]
+            if kind == "end":
+                self.end_attempt(call, exchange, attempt, ENDINGS[pick % len(ENDINGS)])
             else:
-                del self.out[call], self.ends[call]
-                self.tell(it.CallEstablished(call, attempt, exchange, (pick % 2000) * NS_PER_MS))
-        elif what == "list":
+                del self.attempts_in_progress[call], self.patience_ends_at_ns[call]
+                self.send_events(it.CallEstablished(call, attempt, exchange, (pick % 2000) * NS_PER_MS))
+        elif kind == "list":
             number = 1 + pick % 4
-            serving = pick % 3 > 0
-            (self.serving.add if serving else self.serving.discard)(f"x{number}")
-            listing = it.Listing.SERVING if serving else it.Listing.DRAINING
-            self.tell(
+            is_serving = pick % 3 > 0
+            (self.serving.add if is_serving else self.serving.discard)(f"x{number}")
+            listing = it.Listing.SERVING if is_serving else it.Listing.DRAINING
+            self.send_events(
                 it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange(f"x{number}", number, listing),))
             )
-        elif what == "free":
+        elif kind == "free":
             report = it.Report(pick % 30, 30)
-            self.tell(it.ProbeAnswer(f"x{1 + pick % 4}", it.Ending.COMPLETED, 0, report))
-        elif what == "wait":
+            self.send_events(it.ProbeAnswer(f"x{1 + pick % 4}", it.Ending.COMPLETED, 0, report))
+        elif kind == "wait":
             self.wait(pick % 400)
 
 
-def play(steps: list[tuple[str, int]]) -> World:
-    world = World()
-    for what, pick in steps:
-        world.step(what, pick)
-    world.wait(3100)
-    return world
+def play_steps(steps: list[tuple[str, int]]) -> RuleChecker:
+    """Plays all steps against a new policy, then waits until every caller has given up."""
+    checker = RuleChecker()
+    for kind, pick in steps:
+        checker.play_step(kind, pick)
+    checker.wait(3100)
+    return checker
 
 
 @settings(max_examples=60, derandomize=True, deadline=None, database=None)
 @given(STEPS)
 def test_rules_hold_and_equal_input_gives_equal_output(steps: list[tuple[str, int]]) -> None:
-    world = play(steps)
-    assert not world.ends, "rule 1: every call got its final answer"
-    assert play(steps).log == world.log
+    checker = play_steps(steps)
+    assert not checker.patience_ends_at_ns, "rule 1: every call got its final answer"
+    assert play_steps(steps).actions == checker.actions
