--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What sixty agents do together, and what a tick costs: met at the grown deployments, without a bench."""
+"""The behaviour of many controllers together and the cost of a tick, as in large deployments."""
 
 from __future__ import annotations
 
@@ -20,110 +20,113 @@
     sent_to,
 )
 
-AGENTS = 60
-CROWDED = replace(SETTINGS, agents=AGENTS)
+CONTROLLERS = 60
+MANY_CONTROLLERS = replace(SETTINGS, agents=CONTROLLERS)
 
 
-def test_sixty_agents_keep_the_cold_budget_together() -> None:
-    """Each allowed one call a window at least would be sixty a window: a part below one is a longer gap."""
-    reached: list[int] = []
-    fresh = it.ListedExchange("x61", 1, started_ns=100 * NS_PER_S)
-    for seed in range(AGENTS):
-        policy = Policy(replace(CROWDED, own_number=0), seed)
-        others = tuple(it.ListedExchange(f"x{n}", n) for n in range(AGENTS) if n != 1)
-        policy.handle(100 * NS_PER_S, [it.ExchangeList(it.ListKind.REMEMBERED, (*others, fresh))])
+def test_sixty_controllers_together_keep_the_budget_of_a_starting_exchange() -> None:
+    """At one call per window each they would send sixty: a part below one is a longer interval."""
+    sent_at_ns: list[int] = []
+    new_machine = it.ListedExchange("x61", 1, started_ns=100 * NS_PER_S)
+    for seed in range(CONTROLLERS):
+        policy = Policy(replace(MANY_CONTROLLERS, own_number=0), seed)
+        others = tuple(it.ListedExchange(f"x{n}", n) for n in range(CONTROLLERS) if n != 1)
+        policy.handle(100 * NS_PER_S, [it.ExchangeList(it.ListKind.REMEMBERED, (*others, new_machine))])
         for step in range(40):
-            now = 100 * NS_PER_S + step * 100 * NS_PER_MS
+            now_ns = 100 * NS_PER_S + step * 100 * NS_PER_MS
             call = it.CallOffered(f"c{step}", "plain", 1, 3 * NS_PER_S, f"n{step}")
-            actions = policy.handle(now, [call])
-            reached += [now for a in actions if isinstance(a, it.SetUp) and a.exchange == "x61"]
-    window = CROWDED.cold_window_ns
-    most = max(
-        sum(at <= t < at + window for t in reached)
-        for at in range(100 * NS_PER_S, 104 * NS_PER_S, 100 * NS_PER_MS)
+            actions = policy.handle(now_ns, [call])
+            sent_at_ns += [now_ns for a in actions if isinstance(a, it.SetUp) and a.exchange == "x61"]
+    window_ns = MANY_CONTROLLERS.cold_window_ns
+    most_in_a_window = max(
+        sum(at_ns <= time_ns < at_ns + window_ns for time_ns in sent_at_ns)
+        for at_ns in range(100 * NS_PER_S, 104 * NS_PER_S, 100 * NS_PER_MS)
     )
-    assert 0 < most <= 20, "a few a second by all together, and not shut out"
+    assert 0 < most_in_a_window <= 20, "a few per second by all together, but some"
 
 
-def test_in_overload_sixty_agents_do_not_each_let_a_call_go_at_once() -> None:
-    went = 0
-    for seed in range(AGENTS):
-        driver = PolicyDriver(settings=replace(CROWDED, reporting=it.Reporting.IN_ANSWERS))
+def test_in_overload_sixty_controllers_do_not_all_send_a_call_at_once() -> None:
+    sent_count = 0
+    for seed in range(CONTROLLERS):
+        driver = PolicyDriver(settings=replace(MANY_CONTROLLERS, reporting=it.Reporting.IN_ANSWERS))
         driver.policy = Policy(driver.settings, seed)
         driver.send_events(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
         driver.send_events(
             it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.Report(20, 60, hold_back_share=0.3))
         )
         driver.wait(25)
-        went += len(sent_to(driver.offer(2)[1]))
-    assert went < AGENTS / 2
+        sent_count += len(sent_to(driver.offer(2)[1]))
+    assert sent_count < CONTROLLERS / 2
 
 
-class Counted(dict[str, Any]):
-    """Counts how many values are looked at."""
+class CountingDict(dict[str, Any]):
+    """A dictionary that counts how many values are iterated over."""
 
-    looked_at = 0
+    visited = 0
 
     def values(self) -> Any:
         def counted() -> Iterator[Any]:
-            for value in super(Counted, self).values():
-                self.looked_at += 1
+            for value in super(CountingDict, self).values():
+                self.visited += 1
                 yield value
 
         return counted()
 
 
 @pytest.mark.parametrize("count", [10, 70])
-def test_a_quiet_tick_looks_at_no_exchange_and_a_busy_one_only_at_those_with_news(count: int) -> None:
-    """A judge of every exchange against every other got full-size days cut off."""
-    driver = PolicyDriver(settings=CROWDED, entries=listed_exchanges(count))
+def test_an_idle_tick_visits_no_exchange_and_a_busy_one_only_those_with_news(count: int) -> None:
+    """A tick must not compare every exchange with every other, which is too slow for a full-size mesh."""
+    driver = PolicyDriver(settings=MANY_CONTROLLERS, entries=listed_exchanges(count))
     driver.wait(100)
     driver.policy.watched_routes, driver.policy.routes = (
-        Counted(driver.policy.watched_routes),
-        Counted(driver.policy.routes),
+        CountingDict(driver.policy.watched_routes),
+        CountingDict(driver.policy.routes),
     )
     driver.wait(25)
-    assert driver.policy.watched_routes.looked_at == 0 and driver.policy.routes.looked_at == 0
+    assert driver.policy.watched_routes.visited == 0 and driver.policy.routes.visited == 0
     driver.offer(2), driver.offer(3)
-    driver.policy.watched_routes.looked_at = 0
+    driver.policy.watched_routes.visited = 0
     driver.wait(25)
-    assert 0 < driver.policy.watched_routes.looked_at <= 5 * 2
+    assert 0 < driver.policy.watched_routes.visited <= 5 * 2
 
 
-def test_a_draw_looks_at_a_few_tandems_only() -> None:
-    driver = PolicyDriver(settings=CROWDED, entries=listed_exchanges(70))
+def test_a_draw_considers_only_a_few_tandems() -> None:
+    driver = PolicyDriver(settings=MANY_CONTROLLERS, entries=listed_exchanges(70))
     driver.report_circuits("x2", 0)
-    looked: list[int] = []
-    whole = driver.policy.routes_by_number
+    looked_up: list[int] = []
+    all_routes = driver.policy.routes_by_number
 
-    class Looked(dict[int, Any]):
+    class RecordingDict(dict[int, Any]):
         def get(self, key: int, default: Any = None) -> Any:
-            looked.append(key)
+            looked_up.append(key)
             return super().get(key, default)
 
-    driver.policy.routes_by_number = Looked(whole)
+    driver.policy.routes_by_number = RecordingDict(all_routes)
     assert sent_to(driver.offer(2)[1])
-    assert len(looked) <= 20
+    assert len(looked_up) <= 20
 
 
 def test_a_proven_tandem_is_preferred_to_untried_ones() -> None:
-    """At size most tandems lack a group to the destination; half of the attempts were turned back."""
-    driver = PolicyDriver(settings=CROWDED, entries=listed_exchanges(40))
+    """In a large mesh most tandems lack a circuit group to the destination and return the call.
+
+    Half of the attempts were returned before proven tandems were preferred.
+    """
+    driver = PolicyDriver(settings=MANY_CONTROLLERS, entries=listed_exchanges(40))
     driver.report_circuits("x2", 0)
     call, actions = driver.offer(2)
     proven = sent_to(actions, call)[0]
     driver.establish(call, proven)
     driver.report_circuits(proven, 20)
-    went = []
+    attempted = []
     for _ in range(20):
         call, actions = driver.offer(2)
-        went += sent_to(actions, call)
+        attempted += sent_to(actions, call)
         driver.send_events(it.CallerLeft(call))
         driver.report_circuits(proven, 20)
-    assert went.count(proven) > 8
+    assert attempted.count(proven) > 8
 
 
-def test_one_lost_answer_is_no_pressure_where_load_is_reported() -> None:
+def test_one_lost_answer_is_no_overload_where_load_is_reported() -> None:
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
     driver.send_events(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.Report(20, 60, hold_back_share=0.0)))
     driver.offer(2)
@@ -131,7 +134,7 @@
     assert sent_to(driver.offer(2)[1]) == ["x2"]
 
 
-def test_what_a_later_answer_has_overtaken_is_lost_not_slow() -> None:
+def test_a_set_up_that_a_later_answer_has_overtaken_is_lost_not_slow() -> None:
     driver = PolicyDriver()
     lost, _ = driver.offer(2)
     driver.wait(100)
@@ -143,8 +146,8 @@
     assert sent_to(actions, again) == ["x2"] and not final_answers(actions, lost)
 
 
-def test_after_a_stand_still_the_wait_counts_against_the_aim() -> None:
-    """Calls that came while the agent stood still: the first of them can only stand late."""
+def test_after_a_stall_the_wait_counts_against_the_target() -> None:
+    """Of the calls that arrived while the process was stalled, the first can only be established late."""
     driver = PolicyDriver()
     driver.wait(25)
     driver.now_ns += 2 * NS_PER_S
@@ -156,11 +159,11 @@
 
 def test_state_stays_bounded_when_machines_and_numbers_change_all_day() -> None:
     driver = PolicyDriver()
-    for turn in range(300):
-        gone = it.ListedExchange(f"m{turn}", 2, it.Listing.GONE)
-        fresh = it.ListedExchange(f"m{turn + 1}", 2, started_ns=driver.now_ns)
-        driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (gone, fresh)))
-        call, _ = driver.offer(1, number_called=f"busy-{turn}")
+    for index in range(300):
+        gone = it.ListedExchange(f"m{index}", 2, it.Listing.GONE)
+        new_machine = it.ListedExchange(f"m{index + 1}", 2, started_ns=driver.now_ns)
+        driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (gone, new_machine)))
+        call, _ = driver.offer(1, number_called=f"busy-{index}")
         driver.end_attempt(call, "x1", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
         driver.report_circuits("x1", 20)
         driver.wait(1000, step_ms=500)
@@ -169,11 +172,11 @@
     assert len(policy.gapped_numbers.gaps) < 30 and len(policy.first_offers.first_times_ns) < 30
 
 
-def test_the_more_tandems_turn_back_the_fewer_untried_ones_are_asked() -> None:
-    """Incident i133231: over half of the tandem attempts were turned back, at a cost to both ends."""
-    went = []
+def test_the_more_calls_tandems_return_the_fewer_untried_ones_are_used() -> None:
+    """Returned calls cost work at two exchanges (incident i133231: over half of the tandem attempts)."""
+    sent_counts = []
     for rounds in (0, 60):
-        driver = PolicyDriver(settings=CROWDED, entries=listed_exchanges(60))
+        driver = PolicyDriver(settings=MANY_CONTROLLERS, entries=listed_exchanges(60))
         for number in range(1, 60):
             driver.report_circuits(f"x{number}", 0 if number in (2, 3) else 40)
         for _ in range(rounds):
@@ -185,21 +188,25 @@
                     if tandems
                     else []
                 )
-        went.append(len(sent_to([a for _ in range(40) for a in driver.offer(3)[1]])))
-    assert went[1] < went[0] / 2
+        sent_counts.append(len(sent_to([a for _ in range(40) for a in driver.offer(3)[1]])))
+    assert sent_counts[1] < sent_counts[0] / 2
 
 
 def test_answered_probes_do_not_keep_an_old_delay_fresh() -> None:
-    """Issue 11: blocking provoked probes, their answers renewed the delay that blocked: it never ended."""
-    driver = PolicyDriver(settings=replace(CROWDED, reporting=it.Reporting.ON_PROBE, may_probe=True))
+    """Otherwise blocking never ends (issue 11).
+
+    A blocked processor is probed, and the answers to the probes kept the delay valid that had led to
+    blocking.
+    """
+    driver = PolicyDriver(settings=replace(MANY_CONTROLLERS, reporting=it.Reporting.ON_PROBE, may_probe=True))
     call, _ = driver.offer(3)
     driver.establish(call, "x3", delay_ms=40)
     call, _ = driver.offer(2)
     driver.wait(700)
     driver.establish(call, "x2", delay_ms=1200)
     driver.wait(25)
-    assert not sent_to(driver.offer(2)[1]), "the delay was real: for now nothing is sent"
-    for _ in range(160):  # the processor has recovered and says so each time it is asked
+    assert not sent_to(driver.offer(2)[1]), "the delay was real, so nothing is sent at first"
+    for _ in range(160):  # the processor has recovered and reports so on each probe
         for action in driver.wait(100):
             if isinstance(action, it.Probe) and action.exchange == "x2":
                 driver.send_events(
@@ -208,9 +215,9 @@
     assert sent_to(driver.offer(2)[1]) == ["x2"]
 
 
-def test_what_is_known_of_an_exchange_ends_when_its_processor_starts_anew() -> None:
-    """Issue 11: entries blocking or silent when the list dropped their exchange met its return so."""
-    driver = PolicyDriver(settings=CROWDED)
+def test_what_is_known_of_an_exchange_is_discarded_when_its_processor_restarts() -> None:
+    """An exchange that left the list while blocked or silent must not come back in that state (issue 11)."""
+    driver = PolicyDriver(settings=MANY_CONTROLLERS)
     call, _ = driver.offer(2)
     driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
     driver.send_events(it.CallerLeft(call))
@@ -226,7 +233,7 @@
         assert sent_to(driver.offer(number)[1]) == [f"x{number}"]
 
 
-def test_an_entry_that_blocked_lapses_while_its_exchange_is_off_the_list() -> None:
+def test_a_blocked_state_expires_while_the_exchange_is_off_the_list() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
     driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
@@ -240,8 +247,8 @@
     assert sent_to(driver.offer(2)[1]) == ["x2"]
 
 
-def test_the_cold_part_does_not_shrink_with_what_is_sent_in_distress() -> None:
-    """Issue 11: with most exchanges down little is sent, and each that returns was starved by that."""
+def test_the_cold_rate_does_not_shrink_when_little_is_sent_during_a_failure() -> None:
+    """With most exchanges down little is sent; each one that came back was starved for it (issue 11)."""
     driver = PolicyDriver()
     for _ in range(100):
         for number in (1, 2, 3, 4):
@@ -249,27 +256,30 @@
             driver.establish(call, f"x{number}")
             driver.report_circuits(f"x{number}", 40)
         driver.wait(100, step_ms=25)
-    driver.wait(12_000)  # nothing is sent for longer than the span of the rate
-    fresh = it.ListedExchange("x9", 2, started_ns=driver.now_ns)
-    driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (fresh,)))
-    went = 0
+    driver.wait(12_000)  # nothing is sent for longer than the window of sent set-ups
+    new_machine = it.ListedExchange("x9", 2, started_ns=driver.now_ns)
+    driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (new_machine,)))
+    sent_count = 0
     for _ in range(200):
         driver.report_circuits("x9", 60)
         for action in driver.offer(2)[1] + driver.wait(10, step_ms=10):
             if isinstance(action, it.SetUp):
                 driver.establish(action.call, "x9", delay_ms=10)
-                went += 1
-    least, usual = 3.0 / SETTINGS.agents, 10.0
-    assert 2 * least < went / 2 < SETTINGS.cold_multiple * 0.45 * usual
+                sent_count += 1
+    min_rate_per_s, usual_per_s = 3.0 / SETTINGS.agents, 10.0
+    assert 2 * min_rate_per_s < sent_count / 2 < SETTINGS.cold_multiple * 0.45 * usual_per_s
 
 
-def test_the_cold_part_follows_what_callers_ask_of_that_pair() -> None:
-    """Day h54d86e: a mean of all pairs refused half of the calls on busy pairs, and thin ones left theirs."""
+def test_the_cold_rate_follows_the_demand_for_that_exchange() -> None:
+    """With a mean over all pairs of exchanges, busy pairs had half of their calls refused (day h54d86e).
+
+    Pairs with little traffic left their part unused.
+    """
     rates = []
-    for busy in (1, 9):
-        driver = PolicyDriver(settings=CROWDED, entries=listed_exchanges(20))
-        for turn in range(200):
-            number = 2 if turn % 10 < busy else 3 + turn % 16
+    for calls_of_ten in (1, 9):
+        driver = PolicyDriver(settings=MANY_CONTROLLERS, entries=listed_exchanges(20))
+        for index in range(200):
+            number = 2 if index % 10 < calls_of_ten else 3 + index % 16
             call, actions = driver.offer(number)
             for action in actions:
                 if isinstance(action, it.SetUp):
@@ -285,12 +295,15 @@
     assert rates[1] == pytest.approx(9 * rates[0]), "also for a machine that takes the place of the old one"
 
 
-@pytest.mark.parametrize("agents", [5, AGENTS])
-def test_far_ends_are_probed_no_more_often_the_more_agents_are_in_doubt(agents: int) -> None:
-    """Issue 11: 2000 probes a second, most of them turned away, beside 850 calls."""
+@pytest.mark.parametrize("controllers", [5, CONTROLLERS])
+def test_more_controllers_in_doubt_do_not_probe_an_exchange_more_often(controllers: int) -> None:
+    """Probes of all controllers together must not outnumber the calls.
+
+    There were 2000 probes per second, most of them rejected, beside 850 calls per second (issue 11).
+    """
     probes = 0
-    settings = replace(CROWDED, agents=agents, reporting=it.Reporting.ON_PROBE, may_probe=True)
-    for seed in range(agents):
+    settings = replace(MANY_CONTROLLERS, agents=controllers, reporting=it.Reporting.ON_PROBE, may_probe=True)
+    for seed in range(controllers):
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
         driver.send_events(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
@@ -299,4 +312,4 @@
         driver.policy.watched_routes["x2"] = driver.policy.routes["x2"]
         for _ in range(400):
             probes += sum(isinstance(a, it.Probe) and a.exchange == "x2" for a in driver.wait(25))
-    assert 0 < probes / 10 < 20, "a few a second by all together, the first ones included"
+    assert 0 < probes / 10 < 20, "a few per second by all together, the first ones included"
