--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,8 +2,7 @@
 
 Rule 1: each call gets one final answer in time. Rule 2: one attempt of a call at a time. Rule 3: no new
 set-ups to an exchange that drains or is gone. Rule 4: an exchange that has just started gets no more than
-its budget. Rule 5: a call is sent sent_again_at_ns only after the release of an attempt whose outcome is
-uncertain.
+its budget. Rule 5: a call is sent again only after the release of an attempt whose outcome is uncertain.
 """
 
 from __future__ import annotations
@@ -79,9 +78,8 @@
 def test_rule_2_a_call_with_an_attempt_in_progress_is_not_sent_again() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    late_actions = driver.send_events(
-        it.AttemptEnded(call, 5, "x2", it.Ending.TURNED_AWAY)
-    )  # there is no such attempt
+    # There is no such attempt.
+    late_actions = driver.send_events(it.AttemptEnded(call, 5, "x2", it.Ending.TURNED_AWAY))
     assert not sent_to(late_actions + driver.wait(2900), call)
 
 
