--- a/arrowkeel/state.py
+++ b/arrowkeel/state.py
@@ -131,7 +131,7 @@
         return key in self.gaps and self.gaps[key][0] > now_ns
 
     def block(self, key: str, now_ns: int, spread: float) -> None:
-        """Starts the next gap of that key, `spread` times as long as its turn gives.
+        """Starts the next gap of that key; `spread` multiplies its length.
 
         Also drops every other key whose gap ended `max_ns` ago or earlier.
         """
