--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -109,10 +109,10 @@
         # The intervals suit calls that are to be established within seconds. With shorter targets the waits
         # are shorter as well, and intervals of full length would outlive the overload that they protect
         # against. Longer targets leave the intervals unchanged.
-        self.time_scale = min(1.0, max(MIN_TIME_SCALE, settings.longest_aim_ns / REFERENCE_TARGET_NS))
+        self.time_scale = min(1.0, max(MIN_TIME_SCALE, settings.longest_target_ns / REFERENCE_TARGET_NS))
         self.local_processor, self.sharing_factor = (
             Processor(1.0, self.time_scale),
-            max(1.0, settings.agents / UNSHARED_CONTROLLERS),
+            max(1.0, settings.controllers / UNSHARED_CONTROLLERS),
         )
         self.local_processor.recovery_increase = LOCAL_RATE_INCREASE
         # With sixty controllers and sixty exchanges, probes at the full rate outnumbered the calls and were
@@ -121,8 +121,8 @@
         self.probe_interval_ns = int(PROBE_INTERVAL_NS * self.sharing_factor)
         # `min_delay_ns` is the shortest set-up delay seen so far, taken as the delay without load.
         self.overload_wait_ns, self.min_delay_ns = (
-            OVERLOAD_WAIT_SHARE * settings.longest_aim_ns,
-            float(settings.longest_aim_ns),
+            OVERLOAD_WAIT_SHARE * settings.longest_target_ns,
+            float(settings.longest_target_ns),
         )
         # By exchange identifier; the watched ones have news or are not in the normal state, and are updated
         # on every tick.
@@ -131,12 +131,12 @@
         self.calls, self.queued_calls = dict[str, Call](), dict[str, Call]()
         self.overtaken_calls = dict[str, int]()  # when a later set-up overtook that of the call
         self.gapped_numbers = ExponentialBackoff(BUSY_NUMBER_GAP_NS, MAX_BUSY_NUMBER_GAP_NS)
-        self.first_offers = FirstSeen(settings.longest_give_up_ns)
+        self.first_offers = FirstSeen(settings.longest_deadline_ns)
         self.remote_numbers: list[int] = []
         self.crankback_share = 0.0  # share of recent tandem attempts that were returned, to any destination
         self.is_overload_widespread, self.sends_probes = (
             False,
-            settings.may_probe and settings.reporting is it.Reporting.ON_PROBE,
+            settings.may_probe and settings.reporting is it.LoadReporting.ON_PROBE,
         )
         # When the first and the last batch of events was handled, when the event in hand arrived, when the
         # next tick is due, when the process was last found stalled, and when the exchange list is to be
@@ -196,7 +196,7 @@
                 entry.exchange, entry.number, Processor(self.sharing_factor, self.time_scale)
             )
             route = self.routes.setdefault(entry.exchange, new_route)
-            route.number, route.is_serving = entry.number, entry.listing is it.Listing.SERVING
+            route.number, route.is_serving = entry.number, entry.status is it.ExchangeStatus.SERVING
             for processor in (
                 (route.processor, self.local_processor)
                 if route.number == self.settings.own_number
@@ -227,7 +227,7 @@
         }
         self.remote_numbers = sorted(self.routes_by_number.keys() - {self.settings.own_number})
 
-    def record_report(self, exchange: str, report: it.Report | None, now_ns: int) -> None:
+    def record_report(self, exchange: str, report: it.LoadReport | None, now_ns: int) -> None:
         """Records the reported figures of an exchange; each load figure is put on the scale of the load."""
         route = self.routes.get(exchange)
         if route is None or report is None:
@@ -237,12 +237,12 @@
                 report.free_circuits,
                 report.group_size or route.circuits_total,
             )
-        if report.accepted_per_s is not None:
-            route.processor.fair_share_per_s = report.accepted_per_s / self.settings.agents
+        if report.max_set_ups_per_s is not None:
+            route.processor.fair_share_per_s = report.max_set_ups_per_s / self.settings.controllers
         scales = (  # each value with the one that counts as the overload threshold
             (report.wait_ns, self.overload_wait_ns),
-            (report.hold_back_share, OVERLOAD_HOLD_BACK_SHARE),
-            (report.queued, OVERLOAD_QUEUED_MESSAGES),
+            (report.reduction_share, OVERLOAD_HOLD_BACK_SHARE),
+            (report.queued_messages, OVERLOAD_QUEUED_MESSAGES),
         )
         if loads := [value / overload_value for value, overload_value in scales if value is not None]:
             processor = self.local_processor if route.number == self.settings.own_number else route.processor
@@ -312,7 +312,7 @@
             oldest_sent_at_ns = processor.pending.oldest_sent_at_ns(now_ns)
             lacks_responses = (
                 now_ns - max(oldest_sent_at_ns, processor.responded_at_ns)
-                > SILENCE_SHARE * self.settings.shortest_aim_ns
+                > SILENCE_SHARE * self.settings.shortest_target_ns
             )
             if (
                 lacks_responses
@@ -365,11 +365,11 @@
             else arrived_at_ns
         )
         call_class, target_from_ns = (
-            self.settings.class_named(event.class_name),
-            arrived_at_ns if event.was_cut else first_at_ns,
+            self.settings.find_class(event.class_name),
+            arrived_at_ns if event.was_interrupted else first_at_ns,
         )
         target_at_ns, patience_ends_at_ns = (
-            target_from_ns + call_class.aim_ns,
+            target_from_ns + call_class.target_ns,
             now_ns + max(0, event.patience_ns),
         )
         direct_route = self.routes_by_number.get(event.destination)
@@ -379,14 +379,20 @@
                 direct_route.processor.demand.add(arrived_at_ns)
         # A redial whose first attempt is not known here counts as late.
         is_late = now_ns >= target_at_ns or (
-            first_at_ns == arrived_at_ns and event.redial and not event.was_cut
+            first_at_ns == arrived_at_ns and event.redial and not event.was_interrupted
         )
-        worth = call_class.worth * (call_class.late_worth if is_late else 1.0) / self.settings.most_worth
+        worth = call_class.worth * (call_class.late_worth if is_late else 1.0) / self.settings.highest_worth
         queueing_ends_at_ns = min(
-            target_at_ns - int(call_class.aim_ns * (1 - QUEUEING_SHARE)), patience_ends_at_ns - 2 * TICK_NS
+            target_at_ns - int(call_class.target_ns * (1 - QUEUEING_SHARE)), patience_ends_at_ns - 2 * TICK_NS
         )
         call = self.calls[event.call] = Call(
-            event, target_at_ns, patience_ends_at_ns, now_ns, queueing_ends_at_ns, worth, call_class.pools
+            event,
+            target_at_ns,
+            patience_ends_at_ns,
+            now_ns,
+            queueing_ends_at_ns,
+            worth,
+            call_class.exchange_numbers,
         )
         if not event.transit and self.gapped_numbers.is_blocked(event.number_called, now_ns):
             # Only the busy number is gapped; other calls to its exchange are not throttled.
@@ -419,10 +425,10 @@
         if call.attempts >= self.settings.attempt_limit:
             return it.RefusalReason.ATTEMPTS_USED
         if self.local_processor.next_admission_at_ns(now_ns, tolerance) > now_ns:
-            return it.RefusalReason.OWN_PROCESSOR
+            return it.RefusalReason.LOCAL_OVERLOAD
         if direct_route.processor.next_admission_at_ns(now_ns, tolerance) > now_ns:
             is_silent = direct_route.processor.is_silent
-            return it.RefusalReason.FAR_SILENT if is_silent else it.RefusalReason.FAR_PROCESSOR
+            return it.RefusalReason.REMOTE_SILENT if is_silent else it.RefusalReason.REMOTE_OVERLOAD
         if not self.has_free_circuits(direct_route, call, 0.0):
             return it.RefusalReason.NO_CIRCUIT
         return it.RefusalReason.TOO_LATE
@@ -530,7 +536,7 @@
 
     def has_free_circuits(self, route: ExchangeRoute, call: Call, reserved: float) -> bool:
         """Whether the call leaves `reserved` circuits of the group free; True where the group is unknown."""
-        return route.circuits_free is None or route.circuits_free - call.event.width >= int(reserved)
+        return route.circuits_free is None or route.circuits_free - call.event.circuits >= int(reserved)
 
     def trunk_reservation(self, route: ExchangeRoute) -> float:
         """Circuits of the group that are reserved against transit calls and calls by way of a tandem."""
@@ -541,10 +547,13 @@
 
         Candidates are the tandems with a weight, the advised one and a random sample of the others.
         """
-        tandem_numbers = self.remote_numbers if self.settings.is_mesh else call.pools
+        tandem_numbers = self.remote_numbers if self.settings.is_mesh else call.exchange_numbers
         # Returned calls show that the mesh is full: the more there are, the less often untried tandems are
         # sampled.
-        advised, is_mesh_full = call.event.from_or_advised, self.random.random() < self.crankback_share
+        advised, is_mesh_full = (
+            call.event.sender_or_advised_tandem,
+            self.random.random() < self.crankback_share,
+        )
         sampled = (
             []
             if is_mesh_full
@@ -599,7 +608,7 @@
         if age_ns >= warm_up_ns:
             return 0.0
         budget_share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age_ns / warm_up_ns
-        controllers = 1 if processor is self.local_processor else self.settings.agents
+        controllers = 1 if processor is self.local_processor else self.settings.controllers
         # The part follows what callers ask of this processor. What is sent to it would be the wrong measure:
         # it is little during a failure, whatever its cause, and would starve an exchange that comes back. A
         # mean over all pairs of exchanges is too little for busy pairs and more than quiet ones use. The
@@ -621,7 +630,7 @@
         if route.number != call.event.destination:
             call.tried_tandems.add(route.number)
         route.circuits_free = (
-            None if route.circuits_free is None else max(0, route.circuits_free - call.event.width)
+            None if route.circuits_free is None else max(0, route.circuits_free - call.event.circuits)
         )
         route.processor.record_sent(now_ns)
         route.processor.pending.send_times_ns[call.id] = now_ns
@@ -643,12 +652,12 @@
         """
         direct_route, longest_ns = (
             self.routes_by_number.get(call.event.destination),
-            self.settings.longest_advice_ns,
+            self.settings.max_redial_after_ns,
         )
         may_come_soon = (
             call.had_signalling_fault and direct_route is not None and not self.is_overloaded(direct_route)
         )
-        redial_after_ns = min(self.settings.release_ns, longest_ns) if may_come_soon else longest_ns
+        redial_after_ns = min(self.settings.release_guard_ns, longest_ns) if may_come_soon else longest_ns
         gives_advice = self.settings.may_advise_redial and not call.event.transit
         self.close_call(call.id, it.Refuse(call.id, redial_after_ns if gives_advice else 0, reason))
 
@@ -711,14 +720,16 @@
             self.close_call(call.id)
         elif (
             event.ending is it.Ending.COMPLETED
-            or event.cause is it.Cause.LINES_BUSY
+            or event.cause is it.FailureCause.LINES_BUSY
             or now_ns >= call.patience_ends_at_ns
         ):
             # Any other error is a signalling fault, after which the call is tried again.
             self.close_call(call.id, it.Fail(call.id))
         else:
-            if event.ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-                call.earliest_attempt_at_ns = now_ns + self.settings.release_ns  # rule 5: await the release
+            if event.ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
+                call.earliest_attempt_at_ns = (
+                    now_ns + self.settings.release_guard_ns
+                )  # rule 5: await the release
             self.decide_call(call, now_ns)
 
     def learn_from_ending(
@@ -734,25 +745,25 @@
             )
             if is_unresponsive or event.ending is it.Ending.NO_CONNECTION:
                 processor.mark_silent(now_ns, self.random_spread())
-        elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.PROCESSOR_FULL:
+        elif event.ending is it.Ending.NOT_SENT and event.cause is it.FailureCause.PROCESSOR_FULL:
             call.earliest_attempt_at_ns = now_ns + TRIAL_INTERVAL_NS  # the local processor is down
-        elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.NO_CIRCUIT:
+        elif event.ending is it.Ending.NOT_SENT and event.cause is it.FailureCause.NO_CIRCUIT:
             # A set-up that came too late, or met an exchange that drains, is not sent either; then the cause
             # is another one, and the group has not changed.
             route.circuits_free = 0
         elif event.ending is it.Ending.NUMBER_BUSY:
             processor.record_response(now_ns)
-            if event.cause is it.Cause.LINES_BUSY:
+            if event.cause is it.FailureCause.LINES_BUSY:
                 self.gapped_numbers.block(call.event.number_called, now_ns, self.random_spread())
             else:
                 call.had_signalling_fault = True
                 if route is not direct_route:
                     self.update_tandem_weight(direct_route, route, now_ns, succeeded=False)
-        elif event.ending is it.Ending.TURNED_AWAY:
+        elif event.ending is it.Ending.REJECTED:
             processor.record_response(now_ns)
-            if event.cause in (it.Cause.PROCESSOR_FULL, it.Cause.BEYOND_FULL):
+            if event.cause in (it.FailureCause.PROCESSOR_FULL, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL):
                 full_processor = (
-                    processor if event.cause is it.Cause.PROCESSOR_FULL else direct_route.processor
+                    processor if event.cause is it.FailureCause.PROCESSOR_FULL else direct_route.processor
                 )
                 # Its waiting time exceeds any target: no set-up is sent until it has worked off its queue.
                 full_processor.reported_load, full_processor.load_reported_at_ns = BLOCKING_LOAD, now_ns
@@ -780,7 +791,9 @@
             ):
                 del self.overtaken_calls[call_id]
                 can_retry = (
-                    now_ns + self.settings.release_ns + int(max(0.0, call.current_route.processor.delay_ns))
+                    now_ns
+                    + self.settings.release_guard_ns
+                    + int(max(0.0, call.current_route.processor.delay_ns))
                     < call.patience_ends_at_ns
                 )
                 if can_retry and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
--- a/arrowkeel/state.py
+++ b/arrowkeel/state.py
@@ -167,7 +167,7 @@
     `target_at_ns` is the latest moment at which an answered set-up still counts as on time, and
     `patience_ends_at_ns` the moment at which the caller gives up. No attempt starts before
     `earliest_attempt_at_ns`, and the call waits in the queue until `queueing_ends_at_ns` at the latest.
-    `worth` is relative to the worthiest class of call (0 to 1); `pools` are the numbers of the exchanges that
+    `worth` is relative to the worthiest class of call (0 to 1); `exchange_numbers` names the exchanges that
     may serve its class where the exchanges form no mesh. `had_signalling_fault` is set once an attempt ended
     in an error of the signalling. `current_route` is where the attempt in progress went, None if there is
     none, and `tried_tandems` holds the numbers of the tandem exchanges that the call was sent to.
@@ -179,7 +179,7 @@
     earliest_attempt_at_ns: int
     queueing_ends_at_ns: int
     worth: float
-    pools: tuple[int, ...]
+    exchange_numbers: tuple[int, ...]
     attempts: int = 0
     had_signalling_fault: bool = False
     current_route: Route[ProcessorT] | None = None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,15 +14,19 @@
 
 SETTINGS = it.Settings(
     classes=(
-        it.CallClass("plain", aim_ns=1500 * NS_PER_MS, give_up_ns=9 * NS_PER_S, worth=1.0, late_worth=0.25),
-        it.CallClass("worthy", aim_ns=1500 * NS_PER_MS, give_up_ns=9 * NS_PER_S, worth=4.0, late_worth=0.25),
+        it.CallClass(
+            "plain", target_ns=1500 * NS_PER_MS, deadline_ns=9 * NS_PER_S, worth=1.0, late_worth=0.25
+        ),
+        it.CallClass(
+            "worthy", target_ns=1500 * NS_PER_MS, deadline_ns=9 * NS_PER_S, worth=4.0, late_worth=0.25
+        ),
     ),
     own_number=0,
-    agents=5,
+    controllers=5,
     may_advise_redial=True,
-    longest_advice_ns=2 * NS_PER_S,
+    max_redial_after_ns=2 * NS_PER_S,
     attempt_limit=6,
-    release_ns=400 * NS_PER_MS,
+    release_guard_ns=400 * NS_PER_MS,
 )
 
 
@@ -58,12 +62,12 @@
         end_at_ns = self.now_ns + int(ms * NS_PER_MS)
         while self.now_ns < end_at_ns:
             self.now_ns = min(end_at_ns, self.now_ns + int(step_ms * NS_PER_MS))
-            actions += self.send_events(it.TimerRang(0))
+            actions += self.send_events(it.TimerExpired(0))
         return actions
 
     def report_circuits(self, exchange: str, free: int, total: int = 60) -> list[it.Action]:
         """Reports the circuit group towards an exchange."""
-        return self.send_events(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, it.Report(free, total)))
+        return self.send_events(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, it.LoadReport(free, total)))
 
     def offer(self, destination: int, **changes: object) -> tuple[str, list[it.Action]]:
         """Offers a call of the plain class to a number of its own; returns its identifier too."""
@@ -87,7 +91,7 @@
         call: str,
         exchange: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         attempt: int = 0,
         call_over: bool = False,
     ) -> list[it.Action]:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -15,7 +15,7 @@
     """Prevents a rejected call from being sent back to the full processor at once (incident i6a95c2)."""
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    actions = driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    actions = driver.end_attempt(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.wait(25)
     others = [action for _ in range(20) for action in driver.offer(2)[1]]
     assert "x2" not in sent_to(others)
@@ -27,7 +27,7 @@
     driver.report_circuits("x2", 0)
     call, actions = driver.offer(2)
     tandem = sent_to(actions, call)[0]
-    driver.end_attempt(call, tandem, it.Ending.TURNED_AWAY, it.Cause.BEYOND_FULL)
+    driver.end_attempt(call, tandem, it.Ending.REJECTED, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL)
     driver.wait(25)
     assert not sent_to(driver.offer(2)[1])
     assert sent_to(driver.offer(int(tandem[1:]))[1]) == [tandem]
@@ -36,7 +36,7 @@
 def test_a_busy_number_is_gapped_and_its_exchange_is_not() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2, number_called="hot")
-    driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
+    driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
     redial, actions = driver.offer(2, number_called="hot")
     assert not sent_to(actions) and final_answers(actions, redial)
     assert sent_to(driver.offer(2)[1]) == ["x2"]
@@ -60,7 +60,7 @@
     driver = PolicyDriver()
     for exchange in ("x1", "x2", "x3", "x4"):
         driver.report_circuits(exchange, 3)
-    assert not sent_to(driver.offer(2, transit=True, from_or_advised=1)[1])
+    assert not sent_to(driver.offer(2, transit=True, sender_or_advised_tandem=1)[1])
     driver.report_circuits("x2", 0)
     assert not sent_to(driver.offer(2)[1])
     assert sent_to(driver.offer(3)[1]) == ["x3"]
@@ -148,12 +148,12 @@
 @pytest.mark.parametrize(
     ("reporting", "report"),
     [
-        (it.Reporting.IN_ANSWERS, it.Report(20, 60, hold_back_share=0.9)),
-        (it.Reporting.ON_PROBE, it.Report(20, 60, wait_ns=2e9)),
-        (it.Reporting.IN_ANSWERS, it.Report(20, 60, busy_share=5.0, queued=1e12)),
+        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, reduction_share=0.9)),
+        (it.LoadReporting.ON_PROBE, it.LoadReport(20, 60, wait_ns=2e9)),
+        (it.LoadReporting.IN_ANSWERS, it.LoadReport(20, 60, utilization=5.0, queued_messages=1e12)),
     ],
 )
-def test_a_reported_load_throttles_calls(reporting: it.Reporting, report: it.Report) -> None:
+def test_a_reported_load_throttles_calls(reporting: it.LoadReporting, report: it.LoadReport) -> None:
     driver = PolicyDriver(settings=replace(SETTINGS, reporting=reporting, may_probe=True))
     driver.send_events(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, report))
     driver.wait(25)
@@ -162,16 +162,16 @@
 
 
 def test_reports_without_processor_figures_are_not_load() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
+    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
     assert len(sent_to([a for _ in range(15) for a in driver.offer(2)[1]])) == 15
 
 
 def test_contradictory_events_are_tolerated() -> None:
     driver = PolicyDriver()
-    twice = (it.ListedExchange("x2", 2), it.ListedExchange("x2", 2, it.Listing.DRAINING))
+    twice = (it.ListedExchange("x2", 2), it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING))
     driver.send_events(it.ExchangeList(it.ListKind.CHANGES, twice), it.ExchangeList(it.ListKind.FAILED))
     driver.report_circuits("x1", 90, total=60)
-    driver.end_attempt("never", "x1", it.Ending.CUT)
+    driver.end_attempt("never", "x1", it.Ending.INTERRUPTED)
     driver.send_events(
         it.CallerLeft("never"), it.ProbeAnswer("nowhere", it.Ending.NO_ANSWER), it.PeerMessage(3, b"x")
     )
@@ -183,7 +183,7 @@
         SETTINGS,
         own_number=-1,
         is_mesh=False,
-        classes=(it.CallClass("plain", 1500 * NS_PER_MS, 9 * NS_PER_S, pools=(1, 3)),),
+        classes=(it.CallClass("plain", 1500 * NS_PER_MS, 9 * NS_PER_S, exchange_numbers=(1, 3)),),
     )
     driver = PolicyDriver(settings=pool_settings)
     assert sent_to(driver.offer(1)[1]) == ["x1"]
@@ -193,13 +193,15 @@
 
 def is_refused_at_once(actions: list[it.Action], call: str) -> bool:
     """Whether these actions refuse the call with the longest advice to redial, and are its only answer."""
-    return final_answers(actions, call) == [it.Refuse(call, SETTINGS.longest_advice_ns)]
+    return final_answers(actions, call) == [it.Refuse(call, SETTINGS.max_redial_after_ns)]
 
 
 def test_a_call_to_a_gone_or_unknown_exchange_is_answered_at_once() -> None:
     """A call is queued only while it can still be established, never to keep its caller from redialling."""
     driver = PolicyDriver()
-    driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.GONE),)))
+    driver.send_events(
+        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.GONE),))
+    )
     for destination in (2, 77):
         call, actions = driver.offer(destination)
         assert is_refused_at_once(actions, call)
@@ -214,7 +216,7 @@
     call, _ = driver.offer(1)
     driver.wait(200)
     # The local processor is down.
-    actions = driver.end_attempt(call, "x1", it.Ending.NOT_SENT, it.Cause.PROCESSOR_FULL)
+    actions = driver.end_attempt(call, "x1", it.Ending.NOT_SENT, it.FailureCause.PROCESSOR_FULL)
     assert is_refused_at_once(actions, call)
 
 
@@ -225,7 +227,9 @@
     for attempt in range(2):
         assert not final_answers(actions)
         tandem = sent_to(actions, call)[0]
-        actions = driver.end_attempt(call, tandem, it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK, attempt)
+        actions = driver.end_attempt(
+            call, tandem, it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM, attempt
+        )
     assert is_refused_at_once(actions, call)
 
 
@@ -240,7 +244,7 @@
     driver = PolicyDriver()
     processor = driver.policy.routes["x2"].processor
     first, _ = driver.offer(2)
-    driver.end_attempt(first, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    driver.end_attempt(first, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.send_events(it.CallerLeft(first))
     driver.wait(25)
     assert processor.expires_at_ns - driver.now_ns > 1500 * NS_PER_MS, (
@@ -276,7 +280,7 @@
     for _ in range(400):
         call, actions = driver.offer(2)
         if sent_to(actions):
-            driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+            driver.end_attempt(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
         driver.wait(50)
     processor = driver.policy.routes["x2"].processor
     assert (
@@ -288,14 +292,14 @@
 def test_intervals_shrink_with_the_targets() -> None:
     """With targets of half a second, a block of several seconds outlived the overload behind it."""
     short_targets = replace(
-        SETTINGS, classes=(it.CallClass("plain", aim_ns=500 * NS_PER_MS, give_up_ns=3 * NS_PER_S),)
+        SETTINGS, classes=(it.CallClass("plain", target_ns=500 * NS_PER_MS, deadline_ns=3 * NS_PER_S),)
     )
     remaining_ns = []
     for settings in (SETTINGS, short_targets):
         driver = PolicyDriver(settings=settings)
         for _ in range(10):
             call, _ = driver.offer(2)
-            driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+            driver.end_attempt(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
             driver.send_events(it.CallerLeft(call))
         driver.wait(25)
         remaining_ns.append(driver.policy.routes["x2"].processor.expires_at_ns - driver.now_ns)
@@ -307,10 +311,12 @@
 
     It took five seconds while the processor answered within 30 ms.
     """
-    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
+    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
     call, _ = driver.offer(2)
-    driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
-    driver.send_events(it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.Report(20, 60, accepted_per_s=60.0)))
+    driver.end_attempt(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
+    driver.send_events(
+        it.ProbeAnswer("x2", it.Ending.COMPLETED, 0, it.LoadReport(20, 60, max_set_ups_per_s=60.0))
+    )
     sent_count = 0
     for _ in range(200):  # five seconds, two of them in the blocking state
         for action in driver.offer(2)[1] + driver.wait(25):
@@ -349,7 +355,7 @@
     lost, actions = send_overtaken_call(driver)
     actions += driver.wait(75)
     assert [a for a in actions if not isinstance(a, it.SetTimer)] == [it.CancelAttempt(lost, 0)]
-    driver.end_attempt(lost, "x2", it.Ending.CALLED_OFF)
+    driver.end_attempt(lost, "x2", it.Ending.CANCELLED)
     assert not sent_to(driver.wait(375), lost) and sent_to(driver.wait(75), lost) == ["x2"]
 
 
@@ -367,9 +373,11 @@
     assert not [a for a in actions if isinstance(a, it.CancelAttempt)]
 
 
-@pytest.mark.parametrize(("cause", "has_circuits"), [(it.Cause.UNSAID, True), (it.Cause.NO_CIRCUIT, False)])
+@pytest.mark.parametrize(
+    ("cause", "has_circuits"), [(it.FailureCause.UNSPECIFIED, True), (it.FailureCause.NO_CIRCUIT, False)]
+)
 def test_a_set_up_that_came_too_late_says_nothing_about_the_group(
-    cause: it.Cause, has_circuits: bool
+    cause: it.FailureCause, has_circuits: bool
 ) -> None:
     """A set-up that waited on its connection past its time is not sent either, but the group is not full."""
     driver = PolicyDriver()
@@ -389,9 +397,9 @@
         assert sent_to(actions, call) == ["x2"]
         actions = driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, attempt=attempt)
     # The caller may redial soon, because no room has to be made for other calls.
-    assert final_answers(actions, call) == [it.Refuse(call, SETTINGS.release_ns)]
+    assert final_answers(actions, call) == [it.Refuse(call, SETTINGS.release_guard_ns)]
     call, _ = driver.offer(2)
-    actions = driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
+    actions = driver.end_attempt(call, "x2", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
     assert final_answers(actions, call) == [it.Fail(call)]
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -63,13 +63,13 @@
             for call, (exchange, attempt) in list(self.attempts_in_progress.items()):
                 if self.now_ns >= self.patience_ends_at_ns[call]:
                     self.end_attempt(call, exchange, attempt, it.Ending.NO_ANSWER)
-            self.send_events(it.TimerRang(0))
+            self.send_events(it.TimerExpired(0))
 
     def end_attempt(self, call: str, exchange: str, attempt: int, ending: it.Ending) -> None:
         """Ends an attempt in progress without an answered call."""
         del self.attempts_in_progress[call]
-        if ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-            self.released_at_ns[call] = self.now_ns + SETTINGS.release_ns
+        if ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
+            self.released_at_ns[call] = self.now_ns + SETTINGS.release_guard_ns
         self.send_events(it.AttemptEnded(call, attempt, exchange, ending))
 
     def play_step(self, kind: str, pick: int) -> None:
@@ -98,12 +98,12 @@
             number = 1 + pick % 4
             is_serving = pick % 3 > 0
             (self.serving.add if is_serving else self.serving.discard)(f"x{number}")
-            listing = it.Listing.SERVING if is_serving else it.Listing.DRAINING
+            listing = it.ExchangeStatus.SERVING if is_serving else it.ExchangeStatus.DRAINING
             self.send_events(
                 it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange(f"x{number}", number, listing),))
             )
         elif kind == "free":
-            report = it.Report(pick % 30, 30)
+            report = it.LoadReport(pick % 30, 30)
             self.send_events(it.ProbeAnswer(f"x{1 + pick % 4}", it.Ending.COMPLETED, 0, report))
         elif kind == "wait":
             self.wait(pick % 400)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
     sent_to,
 )
 
-UNCERTAIN_ENDINGS = [it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF]
+UNCERTAIN_ENDINGS = [it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED]
 
 
 @pytest.mark.parametrize("ending", [e for e in it.Ending if e is not it.Ending.COMPLETED])
@@ -79,12 +79,12 @@
     driver = PolicyDriver()
     call, _ = driver.offer(2)
     # There is no such attempt.
-    late_actions = driver.send_events(it.AttemptEnded(call, 5, "x2", it.Ending.TURNED_AWAY))
+    late_actions = driver.send_events(it.AttemptEnded(call, 5, "x2", it.Ending.REJECTED))
     assert not sent_to(late_actions + driver.wait(2900), call)
 
 
-@pytest.mark.parametrize("listing", [it.Listing.DRAINING, it.Listing.GONE])
-def test_rule_3_no_new_set_ups_to_a_draining_or_gone_exchange(listing: it.Listing) -> None:
+@pytest.mark.parametrize("listing", [it.ExchangeStatus.DRAINING, it.ExchangeStatus.GONE])
+def test_rule_3_no_new_set_ups_to_a_draining_or_gone_exchange(listing: it.ExchangeStatus) -> None:
     driver = PolicyDriver()
     driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, listing),)))
     actions = [action for _ in range(20) for action in driver.offer(2)[1] + driver.wait(100)]
@@ -97,7 +97,7 @@
     driver = PolicyDriver(circuits_free=0)
     call, _ = driver.offer(2)
     driver.send_events(
-        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.DRAINING),))
+        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING),))
     )
     assert "x2" not in sent_to(driver.report_circuits("x2", 20) + driver.wait(2000), call)
 
@@ -159,19 +159,19 @@
         if sent_to(actions, call):
             sent_again_at_ns = driver.now_ns
         actions = driver.wait(5, step_ms=5)
-    assert sent_again_at_ns is None or sent_again_at_ns >= ended_at_ns + SETTINGS.release_ns
+    assert sent_again_at_ns is None or sent_again_at_ns >= ended_at_ns + SETTINGS.release_guard_ns
 
 
 def test_rule_5_an_interrupted_call_is_tried_again_once_the_release_is_over() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, release_ns=200 * NS_PER_MS))
+    driver = PolicyDriver(settings=replace(SETTINGS, release_guard_ns=200 * NS_PER_MS))
     call, _ = driver.offer(2)
-    assert sent_to(driver.end_attempt(call, "x2", it.Ending.CUT) + driver.wait(400), call) == ["x2"]
+    assert sent_to(driver.end_attempt(call, "x2", it.Ending.INTERRUPTED) + driver.wait(400), call) == ["x2"]
 
 
 def test_a_transit_call_is_sent_to_its_destination_or_refused() -> None:
     driver = PolicyDriver()
-    call, actions = driver.offer(2, transit=True, from_or_advised=1)
+    call, actions = driver.offer(2, transit=True, sender_or_advised_tandem=1)
     assert sent_to(actions, call) == ["x2"]
     driver.report_circuits("x2", 1)
-    call, actions = driver.offer(2, transit=True, from_or_advised=1)
+    call, actions = driver.offer(2, transit=True, sender_or_advised_tandem=1)
     assert not sent_to(actions) and len(final_answers(actions, call)) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 )
 
 CONTROLLERS = 60
-MANY_CONTROLLERS = replace(SETTINGS, agents=CONTROLLERS)
+MANY_CONTROLLERS = replace(SETTINGS, controllers=CONTROLLERS)
 
 
 def test_sixty_controllers_together_keep_the_budget_of_a_starting_exchange() -> None:
@@ -48,11 +48,11 @@
 def test_in_overload_sixty_controllers_do_not_all_send_a_call_at_once() -> None:
     sent_count = 0
     for seed in range(CONTROLLERS):
-        driver = PolicyDriver(settings=replace(MANY_CONTROLLERS, reporting=it.Reporting.IN_ANSWERS))
+        driver = PolicyDriver(settings=replace(MANY_CONTROLLERS, reporting=it.LoadReporting.IN_ANSWERS))
         driver.policy = Policy(driver.settings, seed)
         driver.send_events(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
         driver.send_events(
-            it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.Report(20, 60, hold_back_share=0.3))
+            it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, reduction_share=0.3))
         )
         driver.wait(25)
         sent_count += len(sent_to(driver.offer(2)[1]))
@@ -127,8 +127,10 @@
 
 
 def test_one_lost_answer_is_no_overload_where_load_is_reported() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.Reporting.IN_ANSWERS))
-    driver.send_events(it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.Report(20, 60, hold_back_share=0.0)))
+    driver = PolicyDriver(settings=replace(SETTINGS, reporting=it.LoadReporting.IN_ANSWERS))
+    driver.send_events(
+        it.ProbeAnswer("x2", it.Ending.COMPLETED, 5, it.LoadReport(20, 60, reduction_share=0.0))
+    )
     driver.offer(2)
     driver.wait(1500)
     assert sent_to(driver.offer(2)[1]) == ["x2"]
@@ -160,11 +162,11 @@
 def test_state_stays_bounded_when_machines_and_numbers_change_all_day() -> None:
     driver = PolicyDriver()
     for index in range(300):
-        gone = it.ListedExchange(f"m{index}", 2, it.Listing.GONE)
+        gone = it.ListedExchange(f"m{index}", 2, it.ExchangeStatus.GONE)
         new_machine = it.ListedExchange(f"m{index + 1}", 2, started_ns=driver.now_ns)
         driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (gone, new_machine)))
         call, _ = driver.offer(1, number_called=f"busy-{index}")
-        driver.end_attempt(call, "x1", it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)
+        driver.end_attempt(call, "x1", it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)
         driver.report_circuits("x1", 20)
         driver.wait(1000, step_ms=500)
     policy = driver.policy
@@ -184,7 +186,9 @@
             for attempt in range(2):
                 tandems = sent_to(actions, call)
                 actions = (
-                    driver.end_attempt(call, tandems[0], it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK, attempt)
+                    driver.end_attempt(
+                        call, tandems[0], it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM, attempt
+                    )
                     if tandems
                     else []
                 )
@@ -198,7 +202,9 @@
     A blocked processor is probed, and the answers to the probes kept the delay valid that had led to
     blocking.
     """
-    driver = PolicyDriver(settings=replace(MANY_CONTROLLERS, reporting=it.Reporting.ON_PROBE, may_probe=True))
+    driver = PolicyDriver(
+        settings=replace(MANY_CONTROLLERS, reporting=it.LoadReporting.ON_PROBE, may_probe=True)
+    )
     call, _ = driver.offer(3)
     driver.establish(call, "x3", delay_ms=40)
     call, _ = driver.offer(2)
@@ -210,7 +216,9 @@
         for action in driver.wait(100):
             if isinstance(action, it.Probe) and action.exchange == "x2":
                 driver.send_events(
-                    it.ProbeAnswer("x2", it.Ending.COMPLETED, 20 * NS_PER_MS, it.Report(20, 60, wait_ns=0.0))
+                    it.ProbeAnswer(
+                        "x2", it.Ending.COMPLETED, 20 * NS_PER_MS, it.LoadReport(20, 60, wait_ns=0.0)
+                    )
                 )
     assert sent_to(driver.offer(2)[1]) == ["x2"]
 
@@ -219,11 +227,11 @@
     """An exchange that left the list while blocked or silent must not come back in that state (issue 11)."""
     driver = PolicyDriver(settings=MANY_CONTROLLERS)
     call, _ = driver.offer(2)
-    driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    driver.end_attempt(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.send_events(it.CallerLeft(call))
     driver.wait(25)
     driver.policy.routes["x3"].processor.mark_silent(driver.now_ns, 1.0)
-    gone = tuple(it.ListedExchange(f"x{number}", number, it.Listing.GONE) for number in (2, 3))
+    gone = tuple(it.ListedExchange(f"x{number}", number, it.ExchangeStatus.GONE) for number in (2, 3))
     driver.send_events(it.ExchangeList(it.ListKind.CHANGES, gone))
     driver.wait(500)
     back = tuple(it.ListedExchange(f"x{n}", n, started_ns=driver.now_ns - 14 * NS_PER_S) for n in (2, 3))
@@ -236,11 +244,11 @@
 def test_a_blocked_state_expires_while_the_exchange_is_off_the_list() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    driver.end_attempt(call, "x2", it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)
+    driver.end_attempt(call, "x2", it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)
     driver.send_events(it.CallerLeft(call))
     driver.wait(25)
     driver.send_events(
-        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.DRAINING),))
+        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING),))
     )
     driver.wait(8000)
     driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2),)))
@@ -266,7 +274,7 @@
             if isinstance(action, it.SetUp):
                 driver.establish(action.call, "x9", delay_ms=10)
                 sent_count += 1
-    min_rate_per_s, usual_per_s = 3.0 / SETTINGS.agents, 10.0
+    min_rate_per_s, usual_per_s = 3.0 / SETTINGS.controllers, 10.0
     assert 2 * min_rate_per_s < sent_count / 2 < SETTINGS.cold_multiple * 0.45 * usual_per_s
 
 
@@ -302,7 +310,9 @@
     There were 2000 probes per second, most of them rejected, beside 850 calls per second (issue 11).
     """
     probes = 0
-    settings = replace(MANY_CONTROLLERS, agents=controllers, reporting=it.Reporting.ON_PROBE, may_probe=True)
+    settings = replace(
+        MANY_CONTROLLERS, controllers=controllers, reporting=it.LoadReporting.ON_PROBE, may_probe=True
+    )
     for seed in range(controllers):
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
