--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -45,9 +45,9 @@
 # its target after such a wait at two processors and a retry.
 OVERLOAD_WAIT_SHARE = 0.2
 
-# Reported values that count as the overload threshold: the share of calls that the processor asks to hold
-# back, and the number of messages in its queue.
-OVERLOAD_HOLD_BACK_SHARE, OVERLOAD_QUEUED_MESSAGES = 0.25, 10.0
+# Reported values that count as the overload threshold: the share by which the processor asks to reduce the
+# calls sent to it, and the number of messages in its queue.
+OVERLOAD_REDUCTION_SHARE, OVERLOAD_QUEUED_MESSAGES = 0.25, 10.0
 
 # Overload is widespread, and calls take no tandem, while this share of the recently responding processors is
 # not in the normal state, and at least this number of them.
@@ -58,7 +58,7 @@
 LOCAL_EXCESS_DIVISOR = 12
 
 # Trunk reservation: the share of a circuit group that is reserved against transit calls and calls by way of a
-# tandem, and the largest number of circuits that is reserved against the direct calls of the lowest worth.
+# tandem. The same share, but at most this number of circuits, is reserved against direct calls of no worth.
 TRUNK_RESERVATION_SHARE, MAX_DIRECT_RESERVATION = 0.1, 2.0
 
 # Weight of a tandem: the part of the distance to 1 that a success adds, the factor of a returned call, and
@@ -75,15 +75,16 @@
 # Weight that is added to an advised tandem, as a multiple of the sum of all candidates' weights.
 ADVISED_TANDEM_SHARE = 1.0
 
-# A set-up counts as lost when it was overtaken this long ago, and this many more have been established since.
+# A set-up counts as lost when it was overtaken this long ago, or longer where the set-up delay is longer, and
+# this many more have been established since.
 LOST_AFTER_NS, LOST_AFTER_SET_UPS = NS_PER_S // 20, 2
 
 # Interval at which states are updated and queued calls are tried again; and how late the timer has to be for
 # the controller to conclude that its own process was stalled.
 TICK_NS, STALL_NS = NS_PER_S // 40, NS_PER_S // 10
 
-# Shares of the target: how long a call may be queued, so that the rest is left for its set-up; and how long
-# an exchange may leave set-ups without any response until it counts as silent.
+# Shares of a target: how long a call may be queued, so that the rest is left for its set-up; and, of the
+# shortest target, how long an exchange may leave set-ups without any response until it counts as silent.
 QUEUEING_SHARE, SILENCE_SHARE = 0.7, 0.6
 
 # The part of a starting processor's allowed load that is used, for safety; and the least number of calls per
@@ -115,9 +116,9 @@
             max(1.0, settings.controllers / UNSHARED_CONTROLLERS),
         )
         self.local_processor.recovery_increase = LOCAL_RATE_INCREASE
-        # With sixty controllers and sixty exchanges, probes at the full rate outnumbered the calls and were
-        # served at their expense. The longer interval bounds the load that any common overload adds. The
-        # drawback: that an exchange has recovered is noticed seconds later.
+        # With sixty controllers in doubt about sixty exchanges, probes at the full rate outnumbered the
+        # calls and were served at their expense. The longer interval bounds the load that any common
+        # overload adds. The drawback: that an exchange has recovered is noticed seconds later.
         self.probe_interval_ns = int(PROBE_INTERVAL_NS * self.sharing_factor)
         # `min_delay_ns` is the shortest set-up delay seen so far, taken as the delay without load.
         self.overload_wait_ns, self.min_delay_ns = (
@@ -241,7 +242,7 @@
             route.processor.fair_share_per_s = report.max_set_ups_per_s / self.settings.controllers
         scales = (  # each value with the one that counts as the overload threshold
             (report.wait_ns, self.overload_wait_ns),
-            (report.reduction_share, OVERLOAD_HOLD_BACK_SHARE),
+            (report.reduction_share, OVERLOAD_REDUCTION_SHARE),
             (report.queued_messages, OVERLOAD_QUEUED_MESSAGES),
         )
         if loads := [value / overload_value for value, overload_value in scales if value is not None]:
@@ -727,9 +728,8 @@
             self.close_call(call.id, it.Fail(call.id))
         else:
             if event.ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
-                call.earliest_attempt_at_ns = (
-                    now_ns + self.settings.release_guard_ns
-                )  # rule 5: await the release
+                # Rule 5: the release is awaited.
+                call.earliest_attempt_at_ns = now_ns + self.settings.release_guard_ns
             self.decide_call(call, now_ns)
 
     def learn_from_ending(
