--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -98,9 +98,9 @@
             number = 1 + pick % 4
             is_serving = pick % 3 > 0
             (self.serving.add if is_serving else self.serving.discard)(f"x{number}")
-            listing = it.ExchangeStatus.SERVING if is_serving else it.ExchangeStatus.DRAINING
+            status = it.ExchangeStatus.SERVING if is_serving else it.ExchangeStatus.DRAINING
             self.send_events(
-                it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange(f"x{number}", number, listing),))
+                it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange(f"x{number}", number, status),))
             )
         elif kind == "free":
             report = it.LoadReport(pick % 30, 30)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -83,10 +83,10 @@
     assert not sent_to(late_actions + driver.wait(2900), call)
 
 
-@pytest.mark.parametrize("listing", [it.ExchangeStatus.DRAINING, it.ExchangeStatus.GONE])
-def test_rule_3_no_new_set_ups_to_a_draining_or_gone_exchange(listing: it.ExchangeStatus) -> None:
+@pytest.mark.parametrize("status", [it.ExchangeStatus.DRAINING, it.ExchangeStatus.GONE])
+def test_rule_3_no_new_set_ups_to_a_draining_or_gone_exchange(status: it.ExchangeStatus) -> None:
     driver = PolicyDriver()
-    driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, listing),)))
+    driver.send_events(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, status),)))
     actions = [action for _ in range(20) for action in driver.offer(2)[1] + driver.wait(100)]
     assert "x2" not in sent_to(actions)
     driver.report_circuits("x3", 0)
