--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -609,7 +609,7 @@
         if age_ns >= warm_up_ns:
             return 0.0
         budget_share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age_ns / warm_up_ns
-        controllers = 1 if processor is self.local_processor else self.settings.controllers
+        sender_count = 1 if processor is self.local_processor else self.settings.controllers
         # The part follows what callers ask of this processor. What is sent to it would be the wrong measure:
         # it is little during a failure, whatever its cause, and would starve an exchange that comes back. A
         # mean over all pairs of exchanges is too little for busy pairs and more than quiet ones use. The
@@ -620,7 +620,7 @@
             / max(SENT_WINDOW_NS, min(DEMAND_WINDOW_NS, now_ns - self.first_handled_at_ns))
         )
         return max(
-            MIN_COLD_RATE_PER_S / controllers,
+            MIN_COLD_RATE_PER_S / sender_count,
             budget_share * self.settings.cold_multiple * COLD_BUDGET_SHARE * demand_per_s,
         )
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -303,17 +303,17 @@
     assert rates[1] == pytest.approx(9 * rates[0]), "also for a machine that takes the place of the old one"
 
 
-@pytest.mark.parametrize("controllers", [5, CONTROLLERS])
-def test_more_controllers_in_doubt_do_not_probe_an_exchange_more_often(controllers: int) -> None:
+@pytest.mark.parametrize("controller_count", [5, CONTROLLERS])
+def test_more_controllers_in_doubt_do_not_probe_an_exchange_more_often(controller_count: int) -> None:
     """Probes of all controllers together must not outnumber the calls.
 
     There were 2000 probes per second, most of them rejected, beside 850 calls per second (issue 11).
     """
     probes = 0
     settings = replace(
-        MANY_CONTROLLERS, controllers=controllers, reporting=it.LoadReporting.ON_PROBE, may_probe=True
+        MANY_CONTROLLERS, controllers=controller_count, reporting=it.LoadReporting.ON_PROBE, may_probe=True
     )
-    for seed in range(controllers):
+    for seed in range(controller_count):
         driver = PolicyDriver(settings=settings)
         driver.policy = Policy(settings, seed)
         driver.send_events(it.ExchangeList(it.ListKind.REMEMBERED, driver.entries))
