--- a/arrowkeel/__main__.py
+++ b/arrowkeel/__main__.py
@@ -46,7 +46,12 @@
         loop.add_signal_handler(number, service.stop)
     loop.add_signal_handler(signal.SIGHUP, reload, service.controller)
     await service.start()
-    log.info("started", name=config.name, listen=service.listening, operator=service.operator_api.listening)
+    log.info(
+        "started",
+        name=config.name,
+        listen=service.listen_address,
+        operator=service.operator_api.listen_address,
+    )
     await service.finished
     await service.shut_down()
     log.info("stopped")
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -79,7 +79,7 @@
         )
 
     @property
-    def listening(self) -> str:
+    def listen_address(self) -> str:
         host, port = self.server.sockets[0].getsockname()[:2] if self.server is not None else ("", 0)
         return f"{host}:{port}"
 
@@ -95,10 +95,10 @@
     def is_ready(self) -> bool:
         return self.state is ServiceState.READY
 
-    def metrics(self) -> str:
+    def render_metrics(self) -> str:
         return self.controller.metrics_text()
 
-    def standby(self) -> bool:
+    def enter_standby(self) -> bool:
         """Callers are sent away: tests fail, and each connection goes once nothing is lost with it."""
         if self.state is ServiceState.READY:
             self.state = ServiceState.STANDBY
@@ -107,7 +107,7 @@
             self.controller.callers.leave(Departure.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
-    def active(self) -> bool:
+    def leave_standby(self) -> bool:
         if self.state is ServiceState.STANDBY:
             self.state = ServiceState.READY
             log.info("active again", **self.load())
