--- a/arrowkeel/__main__.py
+++ b/arrowkeel/__main__.py
@@ -1,4 +1,8 @@
-"""The real program: its configuration, read again on SIGHUP, its loop, and its orderly end on SIGTERM."""
+"""The command `python -m arrowkeel`: runs one call controller on real sockets.
+
+LB_CONFIG names the configuration file, which is read again on SIGHUP; SIGTERM and SIGINT begin an orderly
+shutdown. ARROWKEEL_LOG=debug logs every call. The exit status is 2 if the configuration cannot be used.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,8 @@
 from arrowkeel.net.service import Service
 
 
-def load(clock_offset: ClockOffset) -> Config:
+def load_config(clock_offset: ClockOffset) -> Config:
+    """Returns the configuration from the file that LB_CONFIG names; raises ConfigError if it is unusable."""
     path = os.environ.get("LB_CONFIG", "")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
@@ -28,23 +33,27 @@
     return read_config(text, clock_offset, os.environ)
 
 
-def reload(controller: Controller) -> None:
-    """Guards the calls that are open: a file that cannot be used, or the signal itself, must not end them."""
+def reload_config(controller: Controller) -> None:
+    """Reads the configuration file again and applies it.
+
+    A file that cannot be used is logged and changes nothing: neither it nor the signal may end open calls.
+    """
     try:
-        config = load(controller.config.clock_offset)
+        config = load_config(controller.config.clock_offset)
     except ConfigError as error:
-        structlog.get_logger().error("configuration not taken, the old one stays", reason=str(error))
+        structlog.get_logger().error("configuration rejected, keeping the previous one", reason=str(error))
     else:
         controller.reload(config)
 
 
 async def serve(config: Config) -> None:
+    """Runs the service until its orderly shutdown is complete; raises ConfigError if it cannot start."""
     log = structlog.get_logger()
     service = Service(config)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, service.stop)
-    loop.add_signal_handler(signal.SIGHUP, reload, service.controller)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, service.stop)
+    loop.add_signal_handler(signal.SIGHUP, reload_config, service.controller)
     await service.start()
     log.info(
         "started",
@@ -58,7 +67,10 @@
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is a controller that can reload
+    """Runs the program and returns its exit status."""
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # the default would end the process; `serve` sets the handler
     level = logging.DEBUG if os.environ.get("ARROWKEEL_LOG") == "debug" else logging.INFO
     structlog.configure(
         processors=[
@@ -70,7 +82,7 @@
         cache_logger_on_first_use=True,
     )
     try:
-        uvloop.run(serve(load(ClockOffset.measure())))
+        uvloop.run(serve(load_config(ClockOffset.measure())))
     except ConfigError as error:
         print(f"arrowkeel cannot start: {error}", file=sys.stderr)
         return 2
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -340,7 +340,7 @@
     for spoilt in ('{"name":', '{"limits": []}'):
         program.path.write_text(spoilt)
         program.process.send_signal(signal.SIGHUP)
-        program.logged("configuration not taken")
+        program.logged("configuration rejected")
     program.tell(event(3, instance("near", 2, near.address, "removed")))
     program.exchange.release(CALL, 16)
     assert caller.expect(Kind.RELEASE).cause() == 16
