--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -1,4 +1,8 @@
-"""The program's life: what it listens on, when it is ready, standby, and its orderly end."""
+"""The life cycle of the process: listening, readiness, standby and orderly shutdown.
+
+`Service` joins a controller with the sockets of callers and operators and moves through the states of
+`ServiceState`.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +20,14 @@
 from arrowkeel.net.operator_api import OperatorApi
 from arrowkeel.policy import Policy
 
-FLUSH_NS = 300 * MS  # for the last answers to be read, at the end
-SWEEP_NS = 50 * MS  # between looks for connections that are of no use
+FINAL_FLUSH_NS = 300 * MS  # longest wait at the end until callers have read the last answers
+SWEEP_INTERVAL_NS = 50 * MS  # between checks for idle, unresponsive and expired connections
 log = structlog.get_logger()
 
 
 class ServiceState(Enum):
+    """Where the process is in its life cycle; operators switch between READY and STANDBY."""
+
     STARTING = "starting"
     READY = "ready"
     STANDBY = "standby"
@@ -29,7 +35,7 @@
 
 
 class Service:
-    """One controller on its sockets, from start to end."""
+    """One controller with its listening sockets, from start to shutdown."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -38,13 +44,19 @@
         self.state = ServiceState.STARTING
         self.operator_api = OperatorApi(self, config.bounds.max_operator_connections)
         self.server: asyncio.Server | None = None
-        self.stop_at_ns = 0
-        self.finished: asyncio.Future[None] = self.loop.create_future()
+        # When the process may end at the earliest; until then callers may still connect, unless a successor
+        # accepts on the same socket. 0 until the shutdown begins.
+        self.earliest_finish_ns = 0
+        self.finished: asyncio.Future[None] = self.loop.create_future()  # set once `shut_down` may be called
 
-    # Start
+    # Start-up
 
     async def start(self) -> None:
-        """Ready once each exchange was dialled: a successor that says so too soon fails its first calls."""
+        """Listens, dials the exchanges and becomes ready; raises ConfigError if an address cannot be used.
+
+        Callers are accepted only once every exchange was dialled. A successor process that reported itself
+        ready before that would fail its first calls.
+        """
         try:
             if self.config.operator is not None:
                 await self.operator_api.listen(self.config.operator)
@@ -56,40 +68,47 @@
             if self.state is ServiceState.STARTING:
                 await self.server.start_serving()
         except (OSError, ValueError) as error:
-            named = "listen" if self.config.accept_fd is None else "LB_ACCEPT_FD"
-            raise ConfigError(f"{named}: {error}") from None
+            field = "listen" if self.config.accept_fd is None else "LB_ACCEPT_FD"
+            raise ConfigError(f"{field}: {error}") from None
         if self.state is ServiceState.STARTING:
             self.state = ServiceState.READY
         self.sweep()
 
     async def listen(self) -> asyncio.Server:
+        """Returns the server for callers' connections, which does not accept any yet."""
         config = self.config
 
-        def line() -> CallerConnection:
+        def new_caller_connection() -> CallerConnection:
             return CallerConnection(self.controller, config.bounds.max_unsent_bytes)
 
-        if config.accept_fd is not None:  # the platform's socket: whoever runs after us has it too
-            held = socket.socket(fileno=config.accept_fd)
+        # Whoever started this process keeps the inherited socket open, so that a successor gets it too.
+        if config.accept_fd is not None:
+            inherited_socket = socket.socket(fileno=config.accept_fd)
             return await self.loop.create_server(
-                line, sock=held, backlog=config.bounds.accept_backlog, start_serving=False
+                new_caller_connection,
+                sock=inherited_socket,
+                backlog=config.bounds.accept_backlog,
+                start_serving=False,
             )
         host, port = config.listen.host, config.listen.port
         return await self.loop.create_server(
-            line, host, port, backlog=config.bounds.accept_backlog, start_serving=False
+            new_caller_connection, host, port, backlog=config.bounds.accept_backlog, start_serving=False
         )
 
     @property
     def listen_address(self) -> str:
+        """The address for callers as `host:port`, with the port that the system chose."""
         host, port = self.server.sockets[0].getsockname()[:2] if self.server is not None else ("", 0)
         return f"{host}:{port}"
 
     def sweep(self) -> None:
-        now = time.monotonic_ns()
-        self.controller.sweep(now)
-        self.operator_api.sweep(now)
-        self.loop.call_later(SWEEP_NS / 1e9, self.sweep)
+        """Runs the periodic checks of all connections, now and every SWEEP_INTERVAL_NS."""
+        now_ns = time.monotonic_ns()
+        self.controller.sweep(now_ns)
+        self.operator_api.sweep(now_ns)
+        self.loop.call_later(SWEEP_INTERVAL_NS / 1e9, self.sweep)
 
-    # What operators ask
+    # Requests of operators
 
     @property
     def is_ready(self) -> bool:
@@ -99,24 +118,29 @@
         return self.controller.metrics_text()
 
     def enter_standby(self) -> bool:
-        """Callers are sent away: tests fail, and each connection goes once nothing is lost with it."""
+        """Makes callers leave, if the process is ready; returns whether it is in standby.
+
+        From now on connection tests by callers fail, and each caller's connection is closed once no call or
+        release can be lost with it.
+        """
         if self.state is ServiceState.READY:
             self.state = ServiceState.STANDBY
-            log.info("standby", **self.load())
+            log.info("standby", **self.log_fields())
             self.controller.takes_calls = False
             self.controller.callers.leave(Departure.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def leave_standby(self) -> bool:
+        """Accepts calls again, if the process is in standby; returns whether it is ready."""
         if self.state is ServiceState.STANDBY:
             self.state = ServiceState.READY
-            log.info("active again", **self.load())
+            log.info("standby ended", **self.log_fields())
             self.controller.takes_calls = True
             self.controller.callers.stay()
         return self.state is ServiceState.READY
 
-    def load(self) -> dict[str, int]:
-        """What the log says at each change of state."""
+    def log_fields(self) -> dict[str, int]:
+        """Returns the counts that are logged with each change of state."""
         calls = self.controller.calls
         return {
             "open_calls": calls.open_count,
@@ -124,46 +148,56 @@
             "caller_connections": len(self.controller.callers.connections),
         }
 
-    # Stop
+    # Shutdown
 
     def stop(self) -> None:
-        """Calls go on being taken for a while; the end comes once all is answered and callers have gone.
+        """Begins the orderly shutdown; a second call has no effect.
+
+        Set-ups are still accepted for a while, and the process ends once all of them are answered and callers
+        have closed their connections.
 
-        On a socket that the platform holds nothing more is accepted: what connects now waits there for the
-        process that follows, and what is connected goes to it at its first idle moment.
+        With an inherited listening socket no further connections are accepted: new ones wait in the socket's
+        backlog for the successor process, and each open one is closed at its first idle moment, so that its
+        caller connects to the successor.
         """
-        if self.stop_at_ns:
+        if self.earliest_finish_ns:
             return
-        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
+        now_ns, longest_deadline_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
         self.state = ServiceState.STOPPING
-        self.stop_at_ns = now + STOP_TAKES_NS
-        log.info("stopping", **self.load())
+        self.earliest_finish_ns = now_ns + STOP_TAKES_NS
+        log.info("stopping", **self.log_fields())
         if self.config.accept_fd is not None:
-            self.close_server()
-            self.controller.callers.leave(Departure.hand_over(now, longest_ns))
+            self.stop_accepting()
+            self.controller.callers.leave(Departure.hand_over(now_ns, longest_deadline_ns))
         else:
-            self.controller.callers.leave(Departure.stop(now, longest_ns))
-        self.finish_if_due()
+            self.controller.callers.leave(Departure.stop(now_ns, longest_deadline_ns))
+        self.check_finished()
 
-    def close_server(self) -> None:
+    def stop_accepting(self) -> None:
+        """Stops accepting connections; the open ones are not affected."""
         if self.server is not None:
             self.server.close()
 
-    def finish_if_due(self) -> None:
+    def check_finished(self) -> None:
+        """Completes `finished` if nothing is left to do or time is up; otherwise checks again after 10 ms.
+
+        When time is up, open calls get their final answer here.
+        """
         if self.finished.done():
             return
-        now, callers, calls = time.monotonic_ns(), self.controller.callers, self.controller.calls
-        if now >= self.stop_at_ns:
-            self.close_server()
-        if callers.must_answer_all(now):
+        now_ns, callers, calls = time.monotonic_ns(), self.controller.callers, self.controller.calls
+        if now_ns >= self.earliest_finish_ns:
+            self.stop_accepting()
+        if callers.must_answer_all(now_ns):
             self.controller.answer_all()
             self.finished.set_result(None)
-        elif now >= self.stop_at_ns and not calls.open_count and not callers.connections:
+        elif now_ns >= self.earliest_finish_ns and not calls.open_count and not callers.connections:
             self.finished.set_result(None)
         else:
-            self.loop.call_later(0.01, self.finish_if_due)
+            self.loop.call_later(0.01, self.check_finished)
 
     async def shut_down(self) -> None:
-        await self.controller.close(time.monotonic_ns() + FLUSH_NS)
+        """Closes every connection once the last answers are written; call it when `finished` is done."""
+        await self.controller.close(time.monotonic_ns() + FINAL_FLUSH_NS)
         self.operator_api.close()
         await asyncio.sleep(0.005)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -162,7 +162,7 @@
         while not any(line.has_carried_calls for line in service.controller.callers.connections):
             await asyncio.sleep(0.01)
         service.stop()
-        assert await reader.read() == b"" and time.monotonic_ns() >= service.stop_at_ns
+        assert await reader.read() == b"" and time.monotonic_ns() >= service.earliest_finish_ns
         writer.close()
         await asyncio.wait_for(service.finished, PATIENCE_S)
         await service.shut_down()
