--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Stories of the program in service: the operators' door, standby, a process that follows another."""
+"""End-to-end tests of the process: the operators' interface, standby, and the hand-over to a successor."""
 
 from __future__ import annotations
 
@@ -35,14 +35,16 @@
         yield program
 
 
-def ready(caller: Peer) -> bytes:
+def run_connection_test(caller: Peer) -> bytes:
+    """Tests the connection and returns the result byte: 1 while the program accepts calls, else 0."""
     caller.send(Kind.TEST, OTHER, {Code.CAUSE: b"\x00"})
     return caller.expect(Kind.TEST_RESULT, OTHER).parameters[Code.CAUSE]
 
 
-def test_operators_are_answered_beside_those_who_say_nothing_or_half_a_call(program: Program) -> None:
-    waiting = [socket.create_connection(program.operator_api, PATIENCE_S) for _ in range(60)]
-    waiting[-1].sendall(b"GET /sta")
+def test_operators_are_answered_despite_silent_and_incomplete_requests(program: Program) -> None:
+    """Connections without a complete request must not take every place that operators' connections have."""
+    silent = [socket.create_connection(program.operator_api, PATIENCE_S) for _ in range(60)]
+    silent[-1].sendall(b"GET /sta")
     assert program.ask("GET", "/status")[0] == 200
     assert [program.ask(*call)[0] for call in (("POST", "/status"), ("GET", "/x"), ("?", "/status"))] == [
         405,
@@ -52,7 +54,7 @@
     assert program.ask("GET", "/" + "x" * 9000)[0] == 413
 
 
-def test_figures_count_what_peers_saw(program: Program) -> None:
+def test_metrics_count_what_peers_observed(program: Program) -> None:
     caller = program.caller()
     program.standing(caller)
     caller.set_up(OTHER, dest=9)
@@ -81,12 +83,12 @@
         "upstream_tries": 2,
     }
     assert counters["controller.bad_gateway.voice"] == 0
-    wanted = {"in_progress": 2, "open_calls": 1, "standing_calls": 1, "known_exchanges": 1}
-    wanted |= {"skipped_exchanges": 0, "silent_exchanges": 0, "caller_connections": 1}
-    assert {name: gauges[f"controller.{name}"] for name in wanted} == wanted
+    expected = {"in_progress": 2, "open_calls": 1, "standing_calls": 1, "known_exchanges": 1}
+    expected |= {"skipped_exchanges": 0, "silent_exchanges": 0, "caller_connections": 1}
+    assert {name: gauges[f"controller.{name}"] for name in expected} == expected
 
 
-def test_standby_sends_callers_away_and_active_takes_them_back(program: Program) -> None:
+def test_standby_closes_callers_connections_and_active_accepts_them_again(program: Program) -> None:
     busy, idle = program.caller(), program.caller()
     program.standing(busy, THIRD)
     busy.set_up()
@@ -94,29 +96,30 @@
     idle.tested()
     assert program.ask("POST", "/standby")[0] == 200 and program.ask("GET", "/status")[0] == 503
     assert idle.receive() is None
-    assert ready(busy) == b"\x00"
+    assert run_connection_test(busy) == b"\x00"
     program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
     busy.expect(Kind.ANSWER)
-    later = time.monotonic() + 1.0
-    while time.monotonic() < later:  # the last one that speaks of calls stays, to be told what is over
-        assert ready(busy) == b"\x00"
+    keep_open_until = time.monotonic() + 1.0
+    # The last connection that has carried calls stays open, to receive the release of its standing call.
+    while time.monotonic() < keep_open_until:
+        assert run_connection_test(busy) == b"\x00"
     program.exchange.release(THIRD, 16)
     busy.expect(Kind.RELEASE, THIRD)
     assert busy.receive() is None
     assert program.ask("POST", "/active")[0] == 200 and program.ask("GET", "/status")[0] == 200
-    back = program.caller()
-    assert ready(back) == b"\x01"
-    program.standing(back, OTHER)
+    returned = program.caller()
+    assert run_connection_test(returned) == b"\x01"
+    program.standing(returned, OTHER)
 
 
-def test_in_standby_a_connection_stays_until_the_end_of_its_calls_is_told(program: Program) -> None:
+def test_in_standby_a_connection_stays_open_until_its_calls_are_released(program: Program) -> None:
     caller, other = program.caller(), program.caller()
     program.standing(caller)
     program.standing(other, THIRD)
     program.exchange.release(THIRD, 16)
     other.expect(Kind.RELEASE, THIRD)
     assert program.ask("POST", "/standby")[0] == 200
-    assert other.receive() is None, "nothing is left on it"
+    assert other.receive() is None, "a connection without calls must be closed"
     time.sleep(4.2)
     caller.set_up(OTHER)
     refusal = caller.expect(Kind.RELEASE, OTHER)
@@ -124,42 +127,43 @@
     program.exchange.release(CALL, 16)
     caller.expect(Kind.RELEASE)
     assert caller.receive() is None
-    program.exchange.release(CALL, 16)  # told again: nothing waits for the next caller
+    program.exchange.release(CALL, 16)  # a repeated release must not be kept for the next caller
     assert program.ask("POST", "/active")[0] == 200
     program.standing(program.caller(), "00000000000000d4")
 
 
-def test_what_ends_in_standby_waits_for_a_caller_and_is_not_told_to_the_front(program: Program) -> None:
+def test_a_release_in_standby_waits_for_a_caller_and_is_not_sent_to_the_front(program: Program) -> None:
+    """The front only tests connections and passes no releases on: one that is sent to it is lost."""
     caller = program.caller()
     program.standing(caller)
-    caller.socket.close()  # while its call stands
+    caller.socket.close()  # while its call is standing
     assert program.ask("POST", "/standby")[0] == 200
-    time.sleep(2.0)  # from then on set-ups are refused
+    time.sleep(2.0)  # after which set-ups are refused
     fronts = [program.caller()]
-    assert ready(fronts[0]) == b"\x00"
+    assert run_connection_test(fronts[0]) == b"\x00"
     program.exchange.release(CALL, 16)
     fronts.append(program.caller())
-    assert ready(fronts[1]) == b"\x00"
-    back = program.caller()
-    back.set_up(OTHER)
-    back.expect(Kind.RELEASE, OTHER)  # so long after it was asked, standby turns calls away
-    assert back.expect(Kind.RELEASE).cause() == 16
+    assert run_connection_test(fronts[1]) == b"\x00"
+    returned = program.caller()
+    returned.set_up(OTHER)
+    returned.expect(Kind.RELEASE, OTHER)  # so long after the switch to standby, set-ups are refused
+    assert returned.expect(Kind.RELEASE).cause() == 16
 
 
-def test_what_ends_while_a_process_gives_way_is_still_told(tmp_path: Path) -> None:
-    """With its last connection closed at once, releases that come until its end would reach nobody."""
-    scripted, held = Program(tmp_path), socket.create_server(("127.0.0.1", 0))
-    address = held.getsockname()
+def test_releases_during_a_hand_over_still_reach_a_caller(tmp_path: Path) -> None:
+    """If the last connection were closed at once, releases until the process ends would reach no caller."""
+    scripted, listening = Program(tmp_path), socket.create_server(("127.0.0.1", 0))
+    address = listening.getsockname()
 
     async def run() -> None:
         config = read_config(
-            json.dumps(scripted.config), ClockOffset.measure(), {"LB_ACCEPT_FD": str(held.detach())}
+            json.dumps(scripted.config), ClockOffset.measure(), {"LB_ACCEPT_FD": str(listening.detach())}
         )
         service = Service(config)
         await service.start()
         reader, writer = await asyncio.open_connection(*address)
         writer.write(encode(Kind.RELEASE, CALL, {Code.CAUSE: b"\x10"}))
-        while not any(line.has_carried_calls for line in service.controller.callers.connections):
+        while not any(each.has_carried_calls for each in service.controller.callers.connections):
             await asyncio.sleep(0.01)
         service.stop()
         assert await reader.read() == b"" and time.monotonic_ns() >= service.earliest_finish_ns
@@ -170,17 +174,18 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("held", ["x", "-1", "999"])
-def test_a_descriptor_that_is_no_socket_is_named(tmp_path: Path, held: str) -> None:
-    process = Program(tmp_path).launch(LB_ACCEPT_FD=held)
-    said, _ = process.communicate(timeout=PATIENCE_S)
-    assert process.returncode == 2 and said.count("\n") == 1 and "LB_ACCEPT_FD" in said
+@pytest.mark.parametrize("descriptor", ["x", "-1", "999"])
+def test_an_unusable_listening_descriptor_is_reported(tmp_path: Path, descriptor: str) -> None:
+    process = Program(tmp_path).launch(LB_ACCEPT_FD=descriptor)
+    output, _ = process.communicate(timeout=PATIENCE_S)
+    assert process.returncode == 2 and output.count("\n") == 1 and "LB_ACCEPT_FD" in output
 
 
-def test_a_process_follows_another_on_the_platforms_socket_and_no_call_is_turned_back(tmp_path: Path) -> None:
-    program, held = Program(tmp_path), socket.create_server(("127.0.0.1", 0))
-    held.set_inheritable(True)
-    program.held = held
+def test_a_successor_takes_over_the_listening_socket_and_no_call_is_refused(tmp_path: Path) -> None:
+    """Both processes inherit the same socket; the first one ends only after its open call was answered."""
+    program, listening = Program(tmp_path), socket.create_server(("127.0.0.1", 0))
+    listening.set_inheritable(True)
+    program.held = listening
     program.start()
     first = program.process
     try:
@@ -194,16 +199,16 @@
         program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
         caller.expect(Kind.ANSWER)
         assert caller.receive() is None and first.wait(PATIENCE_S) == 0
-        after = program.caller()
-        program.standing(after, OTHER)
+        later_caller = program.caller()
+        program.standing(later_caller, OTHER)
         for _ in range(CONNECTIONS_KEPT):
             program.exchange.ended.get(timeout=PATIENCE_S)
-        program.exchange.release(CALL, 16)  # of a call that stood before this process began
-        assert after.expect(Kind.RELEASE).cause() == 16
+        program.exchange.release(CALL, 16)  # of a call that was established before this process started
+        assert later_caller.expect(Kind.RELEASE).cause() == 16
     finally:
         for process in (first, program.process):
             process.kill()
             process.wait(PATIENCE_S)
             if process.stdout is not None:
                 process.stdout.close()
-        held.close()
+        listening.close()
