--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""Stories of the orderly end: what callers still send is answered, and nothing waits for SIGKILL."""
+"""End-to-end tests of the orderly shutdown: every set-up is answered, and the process ends before SIGKILL."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
 from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
 
-TAKEN_S = 0.7  # set-ups that come so soon after SIGTERM are taken as before
-KILL_S = 3.7  # SIGKILL may come so soon after SIGTERM
+ACCEPTING_S = 0.7  # for this long after SIGTERM set-ups are accepted as before
+KILL_AFTER_S = 3.7  # shortest time between SIGTERM and SIGKILL
 THIRD = "00000000000000c3"
 
 
@@ -24,17 +24,18 @@
 
 
 def terminate(program: Program) -> float:
+    """Sends SIGTERM, waits until the program logs its stop, and returns the time then."""
     program.process.send_signal(signal.SIGTERM)
     program.logged("stopping")
     return time.monotonic()
 
 
-def test_set_ups_that_come_late_are_refused_at_once_with_advice(program: Program) -> None:
+def test_late_set_ups_are_refused_at_once_with_a_redial_time(program: Program) -> None:
     caller = program.caller()
     caller.set_up()
     program.exchange.expect(Kind.SET_UP)
-    began = terminate(program)
-    while time.monotonic() < began + TAKEN_S + 0.1:
+    stop_began_at = terminate(program)
+    while time.monotonic() < stop_began_at + ACCEPTING_S + 0.1:
         time.sleep(0.05)
     caller.set_up(OTHER)
     refusal = caller.expect(Kind.RELEASE, OTHER)
@@ -42,32 +43,33 @@
     program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
     caller.expect(Kind.ANSWER)
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
-    assert time.monotonic() - began < KILL_S
+    assert time.monotonic() - stop_began_at < KILL_AFTER_S
 
 
-def test_a_call_that_hangs_has_its_answer_before_the_kill_may_come(program: Program) -> None:
+def test_an_unanswered_call_fails_before_the_process_may_be_killed(program: Program) -> None:
     caller = program.caller()
     caller.set_up()
     program.exchange.expect(Kind.SET_UP)
-    began = terminate(program)
+    stop_began_at = terminate(program)
     assert caller.expect(Kind.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
     assert program.exchange.expect(Kind.RELEASE).cause() == ReleaseCause.NORMAL
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
-    assert time.monotonic() - began < KILL_S
+    assert time.monotonic() - stop_began_at < KILL_AFTER_S
 
 
-def test_idle_connections_are_closed_and_a_second_signal_changes_nothing(program: Program) -> None:
+def test_idle_connections_are_closed_and_further_signals_change_nothing(program: Program) -> None:
     idle = [program.caller() for _ in range(3)]
-    began = terminate(program)
+    stop_began_at = terminate(program)
     program.process.send_signal(signal.SIGHUP)
     program.process.send_signal(signal.SIGTERM)
     for caller in idle:
         assert caller.receive() is None
     assert program.process.wait(PATIENCE_S) == 0
-    assert TAKEN_S < time.monotonic() - began < TAKEN_S + 1.0
+    assert ACCEPTING_S < time.monotonic() - stop_began_at < ACCEPTING_S + 1.0
 
 
-def test_a_set_up_that_is_written_across_the_stop_is_answered(program: Program) -> None:
+def test_a_set_up_that_arrives_in_pieces_during_the_stop_is_answered(program: Program) -> None:
+    """A connection with an incomplete message is not closed before the message had time to arrive."""
     caller = program.caller()
     program.standing(caller)
     message = encode(
@@ -81,35 +83,37 @@
             Code.DESCRIPTION: b"offer",
         },
     )
-    began = terminate(program)
-    for at in range(0, len(message), 20):
-        caller.socket.sendall(message[at : at + 20])
+    stop_began_at = terminate(program)
+    for offset in range(0, len(message), 20):
+        caller.socket.sendall(message[offset : offset + 20])
         time.sleep(1.5 * 20 / len(message))
     assert caller.expect(Kind.RELEASE, OTHER).cause() == ReleaseCause.CONGESTION
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
-    assert time.monotonic() - began < KILL_S
+    assert time.monotonic() - stop_began_at < KILL_AFTER_S
 
 
-@pytest.mark.parametrize("end", ["reset", "close"])
-def test_a_release_that_crosses_the_end_of_a_callers_connection_is_told_on_another(
-    program: Program, end: str
+@pytest.mark.parametrize("ending", ["reset", "close"])
+def test_a_release_that_crosses_the_end_of_a_callers_connection_is_sent_on_another(
+    program: Program, ending: str
 ) -> None:
+    """A release written to a connection whose end was not read yet never reaches the caller there."""
     first, second = program.caller(), program.caller()
     program.standing(first)
     program.standing(second, THIRD)
-    program.process.send_signal(signal.SIGSTOP)  # so that both are read in one pass of the loop
-    if end == "reset":
+    # Paused, so that it reads both events in the same iteration of its loop.
+    program.process.send_signal(signal.SIGSTOP)
+    if ending == "reset":
         first.reset()
     else:
         first.socket.close()
     program.exchange.release(CALL, ReleaseCause.NORMAL)
     program.process.send_signal(signal.SIGCONT)
     assert second.expect(Kind.RELEASE).cause() == ReleaseCause.NORMAL
-    assert not further(second), "it is told once there"
+    assert not has_further_message(second), "the release must be sent only once"
 
 
-def further(caller: Peer) -> bool:
-    """Whether more than the answer to a test comes on this connection."""
+def has_further_message(caller: Peer) -> bool:
+    """Returns whether the next message on this connection is anything but the answer to a connection test."""
     caller.send(Kind.TEST, OTHER, {Code.CAUSE: b"\x00"})
     message = caller.receive()
     return message is None or message.kind != Kind.TEST_RESULT
