--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -162,15 +162,15 @@
         """
         if self.earliest_finish_ns:
             return
-        now_ns, longest_deadline_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
+        now_ns, longest_wait_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
         self.state = ServiceState.STOPPING
         self.earliest_finish_ns = now_ns + STOP_TAKES_NS
         log.info("stopping", **self.log_fields())
         if self.config.accept_fd is not None:
             self.stop_accepting()
-            self.controller.callers.leave(Departure.hand_over(now_ns, longest_deadline_ns))
+            self.controller.callers.leave(Departure.hand_over(now_ns, longest_wait_ns))
         else:
-            self.controller.callers.leave(Departure.stop(now_ns, longest_deadline_ns))
+            self.controller.callers.leave(Departure.stop(now_ns, longest_wait_ns))
         self.check_finished()
 
     def stop_accepting(self) -> None:
