--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 .PHONY: build test lint run
 
-# The deploy file holds the build; this runs the same line.
+# Runs the build command of the deploy file, so that there is only one definition of the build.
 build:
 	sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml | sh
 
