--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -139,7 +139,7 @@
     accept_fd: int | None
     seed: int  # of the decisions' random numbers
     bounds: Bounds
-    changelog: Address
+    changelog: Address  # where the events of the exchange list come from
     initial_updates: tuple[ListUpdate, ...]  # the events of the exchange list that the file holds
     last_seq: int  # sequence number of the last known event; the change log is followed from there
     settings: it.Settings
