--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -22,10 +22,10 @@
 # The same share where a process and its successor run at once within one set of limits.
 SHARED_CALLER_DESCRIPTOR_SHARE = 0.36
 PROGRAM_MEMORY_BYTES = 18 << 20  # used by the program itself, before it holds any call
-LISTING_BY_LIFECYCLE = {
-    "up": it.Listing.SERVING,
-    "draining": it.Listing.DRAINING,
-    "removed": it.Listing.GONE,
+STATUS_BY_LIFECYCLE = {
+    "up": it.ExchangeStatus.SERVING,
+    "draining": it.ExchangeStatus.DRAINING,
+    "removed": it.ExchangeStatus.GONE,
 }
 
 
@@ -175,20 +175,20 @@
     """Returns one entry of an event's `instances`; raises MalformedListUpdateError."""
     try:
         identity, lifecycle = raw["instanceId"], raw["lifecycle"]
-        if not isinstance(identity, str) or not identity or lifecycle not in LISTING_BY_LIFECYCLE:
+        if not isinstance(identity, str) or not identity or lifecycle not in STATUS_BY_LIFECYCLE:
             raise MalformedListUpdateError(
                 f"instanceId or lifecycle: invalid value, {identity!r} or {lifecycle!r}"
             )
         listed = it.ListedExchange(
             exchange=identity,
             number=int(raw["cell"]),
-            listing=LISTING_BY_LIFECYCLE[lifecycle],
+            status=STATUS_BY_LIFECYCLE[lifecycle],
             zone=str(raw.get("zone", "")),
-            kind=str(raw.get("machineType", "")),
+            machine_type=str(raw.get("machineType", "")),
             rating=float(raw.get("weight", 1.0)),
             started_ns=clock_offset.to_monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
-        gone = listed.listing is it.Listing.GONE
+        gone = listed.status is it.ExchangeStatus.GONE
         return ExchangeEntry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
     except KeyError as error:
         raise MalformedListUpdateError(f"{error.args[0]}: missing") from None
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -11,7 +11,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel import wire
-from arrowkeel.net.codec import Code, Kind, MalformedMessageError, Message, ReleaseCause, encode
+from arrowkeel.net.codec import MalformedMessageError, Message, MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import MS
 from arrowkeel.net.connection import MessageConnection, SentRelease
 from arrowkeel.net.metrics import ConnectionLoss
@@ -21,11 +21,11 @@
 # for so long after a set-up, or lacks a state that another has, is mute, however open it looks.
 MUTE_NS = 250 * MS
 ENDINGS: dict[int, it.Ending] = {
-    ReleaseCause.NO_CIRCUIT: it.Ending.TURNED_AWAY,
-    ReleaseCause.NEVER_LEFT: it.Ending.NOT_SENT,
-    ReleaseCause.TEMPORARY_FAILURE: it.Ending.CUT,
+    ReleaseCause.NO_CIRCUIT: it.Ending.REJECTED,
+    ReleaseCause.SET_UP_NOT_SENT: it.Ending.NOT_SENT,
+    ReleaseCause.TEMPORARY_FAILURE: it.Ending.INTERRUPTED,
     ReleaseCause.USER_BUSY: it.Ending.NUMBER_BUSY,
-    ReleaseCause.UNAVAILABLE: it.Ending.NUMBER_BUSY,
+    ReleaseCause.RESOURCE_UNAVAILABLE: it.Ending.NUMBER_BUSY,
 }
 # The codes that the simulator's wire has for these notes, so that `wire` alone says what they mean.
 NOTES = {"group_full": 1, "tandem_refused": 2, "processor_full": 3, "user_busy": 4, "destination_full": 18}
@@ -52,12 +52,12 @@
     def connection_heard(self, connection: ExchangeConnection) -> None: ...
     def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None: ...
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None: ...
     def released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None: ...
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None: ...
+    def state_told(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None: ...
 
 
 class ExchangeConnection(MessageConnection):
@@ -93,7 +93,7 @@
 
     def is_mute(self, now_ns: int) -> bool:
         """Whether something is due on it for so long that it must be taken to be dead."""
-        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.half_since_ns) if ns]
+        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.incomplete_since_ns) if ns]
         return bool(since_ns) and now_ns - min(since_ns) > MUTE_NS
 
     def set_up(self, request: SetUpRequest, now_ns: int) -> bool:
@@ -101,38 +101,38 @@
         self.set_ups.add(request.call)
         self.asked_ns = self.asked_ns or now_ns
         parameters: dict[int, bytes | str] = {
-            Code.CLASS: request.class_name,
-            Code.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
-            Code.NUMBER: request.number_called,
-            Code.DESCRIPTION: request.description,
+            Parameter.CLASS: request.class_name,
+            Parameter.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
+            Parameter.NUMBER: request.number_called,
+            Parameter.DESCRIPTION: request.description,
         }
-        return self.write(encode(Kind.SET_UP, request.call, parameters))
+        return self.write(encode(MessageType.SET_UP, request.call, parameters))
 
     def release(self, call: str, cause: int, most_held: int) -> bool:
         """Whether the release was written; up to `most_held` are held while they can still be lost."""
-        if not self.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))})):
+        if not self.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))})):
             return False
         if len(self.releases) < most_held:
             self.releases[call] = SentRelease(cause, time.monotonic_ns())
         return True
 
-    def take(self, message: Message) -> None:
-        if message.flaw:
-            raise MalformedMessageError(message.flaw)
+    def handle_message(self, message: Message) -> None:
+        if message.parameter_error:
+            raise MalformedMessageError(message.parameter_error)
         self.hear()
-        match message.kind:
-            case Kind.ANSWER:
+        match message.type:
+            case MessageType.ANSWER:
                 self.take_answer(message)
-            case Kind.RELEASE:
+            case MessageType.RELEASE:
                 self.take_release(message)
-            case Kind.GROUP_STATE:
+            case MessageType.GROUP_STATE:
                 report = self.report(message)
-                self.state = message.parameters.get(Code.REPORT, b"")
+                self.state = message.parameters.get(Parameter.REPORT, b"")
                 self.events.state_told(self, report)
-            case Kind.PROGRESS | Kind.RELEASE_HEARD | Kind.TEST_RESULT:
+            case MessageType.PROGRESS | MessageType.RELEASE_COMPLETE | MessageType.TEST_RESULT:
                 pass
             case _:
-                raise MalformedMessageError(f"type {message.kind} is nothing an exchange sends")
+                raise MalformedMessageError(f"type {message.type} is nothing an exchange sends")
 
     def hear(self) -> None:
         """Something was read: the connection is not mute, and what was written a while ago has arrived."""
@@ -148,15 +148,15 @@
         """An answer that crossed our give-up is of no call any more: the give-up releases it there."""
         if message.call not in self.set_ups:
             return
-        description = message.parameters.get(Code.DESCRIPTION)
+        description = message.parameters.get(Parameter.DESCRIPTION)
         if description is None:
-            raise MalformedMessageError(f"parameter {Code.DESCRIPTION.value}: missing")
+            raise MalformedMessageError(f"parameter {Parameter.DESCRIPTION.value}: missing")
         self.set_ups.discard(message.call)
         self.events.answered(self, message.call, description)
 
     def take_release(self, message: Message) -> None:
         cause, report = message.cause(), self.report(message)
-        note = NOTES.get(message.text(Code.NOTE, ""), 0)
+        note = NOTES.get(message.text(Parameter.NOTE, ""), 0)
         if message.call not in self.set_ups:
             self.events.released(self, message.call, cause, report)
             return
@@ -169,8 +169,8 @@
         ending = ENDINGS.get(cause, it.Ending.NUMBER_BUSY)
         self.events.attempt_ended(message.call, ending, *wire.read_cause(note), report)
 
-    def report(self, message: Message) -> it.Report | None:
-        figures = message.figures(Code.REPORT)
+    def report(self, message: Message) -> it.LoadReport | None:
+        figures = message.named_values(Parameter.REPORT)
         if not figures:
             return None
         names = self.events.report_names
@@ -178,4 +178,4 @@
         try:
             return wire.read_report({"load": row}, names)
         except (wire.MalformedError, ValueError) as error:
-            raise MalformedMessageError(f"parameter {Code.REPORT.value}: {error}") from None
+            raise MalformedMessageError(f"parameter {Parameter.REPORT.value}: {error}") from None
--- a/arrowkeel/net/membership.py
+++ b/arrowkeel/net/membership.py
@@ -49,7 +49,7 @@
     def shut_down(self) -> None:
         """Closes every connection at the end of the program, after what was written has left."""
         for pool in self.pools.values():
-            pool.shut()
+            pool.close_gracefully()
 
     def apply_update(self, update: ListUpdate, is_remembered: bool = False) -> None:
         """Applies one event: removes and creates pools, then passes the event on to the handler.
@@ -71,7 +71,7 @@
                 "exchange listed",
                 seq=update.seq,
                 exchange=entry.listed.exchange,
-                listing=entry.listed.listing.value,
+                listing=entry.listed.status.value,
             )
         self.handler.exchange_list_changed(
             it.ExchangeList(kind, tuple(entry.listed for entry in update.entries))
@@ -80,7 +80,7 @@
     def apply_entry(self, entry: ExchangeEntry) -> None:
         """Creates, updates or removes the pool of one exchange."""
         exchange, address = entry.listed.exchange, entry.address
-        if entry.listed.listing is it.Listing.GONE or address is None:
+        if entry.listed.status is it.ExchangeStatus.GONE or address is None:
             self.remove(exchange)
             return
         self.remove_replaced(exchange, address)
@@ -90,7 +90,7 @@
         elif entry.listed.started_ns > self.started_at_ns.get(exchange, 0):
             self.handler.process_gone(pool, entry.listed.started_ns, ReleaseReason.RESTARTED)
         self.started_at_ns[exchange] = entry.listed.started_ns
-        pool.set_serving(entry.listed.listing is it.Listing.SERVING)
+        pool.set_serving(entry.listed.status is it.ExchangeStatus.SERVING)
         if not pool.connections:
             pool.dial()
 
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from arrowkeel.departure import STOP_TAKES_NS, Departure
+from arrowkeel.departure import STOP_ACCEPT_NS, DrainPlan
 from arrowkeel.net.callers import CallerConnection
 from arrowkeel.net.config import MS, Config, ConfigError
 from arrowkeel.net.controller import Controller
@@ -126,8 +126,8 @@
         if self.state is ServiceState.READY:
             self.state = ServiceState.STANDBY
             log.info("standby", **self.log_fields())
-            self.controller.takes_calls = False
-            self.controller.callers.leave(Departure.standby(time.monotonic_ns()))
+            self.controller.accepts_calls = False
+            self.controller.callers.start_departure(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def leave_standby(self) -> bool:
@@ -135,8 +135,8 @@
         if self.state is ServiceState.STANDBY:
             self.state = ServiceState.READY
             log.info("standby ended", **self.log_fields())
-            self.controller.takes_calls = True
-            self.controller.callers.stay()
+            self.controller.accepts_calls = True
+            self.controller.callers.cancel_departure()
         return self.state is ServiceState.READY
 
     def log_fields(self) -> dict[str, int]:
@@ -162,15 +162,15 @@
         """
         if self.earliest_finish_ns:
             return
-        now_ns, longest_wait_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
+        now_ns, longest_wait_ns = time.monotonic_ns(), self.config.settings.longest_deadline_ns
         self.state = ServiceState.STOPPING
-        self.earliest_finish_ns = now_ns + STOP_TAKES_NS
+        self.earliest_finish_ns = now_ns + STOP_ACCEPT_NS
         log.info("stopping", **self.log_fields())
         if self.config.accept_fd is not None:
             self.stop_accepting()
-            self.controller.callers.leave(Departure.hand_over(now_ns, longest_wait_ns))
+            self.controller.callers.start_departure(DrainPlan.hand_over(now_ns, longest_wait_ns))
         else:
-            self.controller.callers.leave(Departure.stop(now_ns, longest_wait_ns))
+            self.controller.callers.start_departure(DrainPlan.stop(now_ns, longest_wait_ns))
         self.check_finished()
 
     def stop_accepting(self) -> None:
@@ -188,8 +188,8 @@
         now_ns, callers, calls = time.monotonic_ns(), self.controller.callers, self.controller.calls
         if now_ns >= self.earliest_finish_ns:
             self.stop_accepting()
-        if callers.must_answer_all(now_ns):
-            self.controller.answer_all()
+        if callers.must_end_open_calls(now_ns):
+            self.controller.fail_open_calls()
             self.finished.set_result(None)
         elif now_ns >= self.earliest_finish_ns and not calls.open_count and not callers.connections:
             self.finished.set_result(None)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -12,10 +12,10 @@
 
 from arrowkeel import interface as it
 from arrowkeel.net import exchange_pool
-from arrowkeel.net.codec import Code, Kind
+from arrowkeel.net.codec import MessageType, Parameter
 from arrowkeel.net.config import Address
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT, ExchangePool
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE, ExchangePool
 from arrowkeel.net.metrics import ConnectionLoss
 from tests.peers import CALL, OTHER, Exchange, Listener, Peer, config_of
 
@@ -28,7 +28,7 @@
         self.left = self.failed_dials = 0
         self.losses: list[ConnectionLoss] = []
 
-    def set_up_left(self) -> None:
+    def set_up_sent(self) -> None:
         self.left += 1
 
     def attempt_ended(self, call: str, ending: it.Ending, *_: Any) -> None:
@@ -39,10 +39,12 @@
     ) -> None:
         self.told.put_nowait(("stood", call))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
+    ) -> None:
         self.told.put_nowait(("released", call, cause))
 
-    def group_state(self, exchange: str, report: it.Report | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None:
         self.told.put_nowait(("state", report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -51,13 +53,13 @@
     def dial_failed(self) -> None:
         self.failed_dials += 1
 
-    def connection_ended(self, loss: ConnectionLoss) -> None:
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.losses.append(loss)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
         self.told.put_nowait(("expired", calls))
 
-    def exchange_died(self, pool: ExchangePool) -> None:
+    def exchange_process_died(self, pool: ExchangePool) -> None:
         self.told.put_nowait(("died",))
 
 
@@ -98,7 +100,7 @@
         assert await events.told.get() == ("connected",)
         pool.release(OTHER, 16)
         first = await asyncio.to_thread(peer.receive)
-        assert first is not None and (first.kind, first.call) == (Kind.RELEASE, OTHER)
+        assert first is not None and (first.type, first.call) == (MessageType.RELEASE, OTHER)
 
     play(far.address, story)
 
@@ -123,7 +125,7 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
         far.listener.socket.shutdown(socket.SHUT_RDWR)
         far.listener.socket.close()
         far.drop(*lines, reset=end == "reset")
@@ -139,14 +141,17 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
         for line in lines:
-            line.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
+            line.send(MessageType.GROUP_STATE, "0" * 16, {Parameter.REPORT: "idle:7;circuits:60"})
             line.release(OTHER, 16)
         told: list[tuple[Any, ...]] = []
         while told.count(("released", OTHER, 16)) < len(lines):
             told.append(await events.told.get())
-        assert [fact[1] for fact in told if fact[0] == "state"] == [it.Report(40, 60), it.Report(7, 60)]
+        assert [fact[1] for fact in told if fact[0] == "state"] == [
+            it.LoadReport(40, 60),
+            it.LoadReport(7, 60),
+        ]
 
     play(far.address, story)
 
@@ -163,12 +168,12 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         first, second = pool.connections
         for call in (CALL, OTHER, third):
             pool.set_up(order(call))
         assert first.set_ups == {CALL, third}
-        pool.give_up(CALL)
+        pool.cancel_set_up(CALL)
         second.set_ups.clear()
         pool.set_up(order(CALL))
         assert second.set_ups == {CALL}
@@ -176,10 +181,10 @@
         await swept(pool, lambda: first not in pool.connections)
         pool.release("f" * 16, 16)
         came: list[tuple[int, str]] = []
-        while not came or came[-1] != (Kind.RELEASE, "f" * 16):
+        while not came or came[-1] != (MessageType.RELEASE, "f" * 16):
             _, message = await asyncio.to_thread(far.came.get, timeout=20)
-            came.append((message.kind, message.call))
-        assert came.count((Kind.RELEASE, CALL)) == 1 and (Kind.RELEASE, third) in came
+            came.append((message.type, message.call))
+        assert came.count((MessageType.RELEASE, CALL)) == 1 and (MessageType.RELEASE, third) in came
 
     play(far.address, story)
 
@@ -189,12 +194,12 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_KEPT)
+        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_KEPT)
-        assert pool.dialling is None and pool.redial is None
+        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
+        assert pool.dial_task is None and pool.redial is None
 
     play(far.address, story)
 
@@ -202,17 +207,17 @@
 @pytest.mark.parametrize(
     ("cause", "note", "wanted"),
     [
-        (34, "tandem_refused", (it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK)),
-        (34, "destination_full", (it.Ending.TURNED_AWAY, it.Cause.BEYOND_FULL)),
-        (34, "processor_full", (it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)),
-        (102, "group_full", (it.Ending.NOT_SENT, it.Cause.NO_CIRCUIT)),
-        (17, "user_busy", (it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)),
-        (47, "", (it.Ending.NUMBER_BUSY, it.Cause.UNSAID)),
-        (41, "", (it.Ending.CUT, it.Cause.UNSAID)),
+        (34, "tandem_refused", (it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM)),
+        (34, "destination_full", (it.Ending.REJECTED, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL)),
+        (34, "processor_full", (it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)),
+        (102, "group_full", (it.Ending.NOT_SENT, it.FailureCause.NO_CIRCUIT)),
+        (17, "user_busy", (it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)),
+        (47, "", (it.Ending.NUMBER_BUSY, it.FailureCause.UNSPECIFIED)),
+        (41, "", (it.Ending.INTERRUPTED, it.FailureCause.UNSPECIFIED)),
     ],
 )
 def test_each_refusal_means_what_the_adapter_would_tell(
-    cause: int, note: str, wanted: tuple[it.Ending, it.Cause]
+    cause: int, note: str, wanted: tuple[it.Ending, it.FailureCause]
 ) -> None:
     far, ended = Listener(), []
 
@@ -220,17 +225,17 @@
         events.attempt_ended = lambda *told: (ended.append(told), events.told.put_nowait(("end",)))  # type: ignore
         pool.set_up(order(CALL))
         peer = await accepted(far)
-        await asyncio.to_thread(peer.expect, Kind.SET_UP)
+        await asyncio.to_thread(peer.expect, MessageType.SET_UP)
         peer.send(
-            Kind.RELEASE,
+            MessageType.RELEASE,
             CALL,
-            {Code.CAUSE: bytes((cause,)), Code.NOTE: note, Code.REPORT: "idle:3;circuits:9"},
+            {Parameter.CAUSE: bytes((cause,)), Parameter.NOTE: note, Parameter.REPORT: "idle:3;circuits:9"},
         )
         while await events.told.get() != ("end",):
             pass
 
     play(far.address, story)
-    assert ended == [(CALL, wanted[0], wanted[1], 0, it.Report(3, 9))]
+    assert ended == [(CALL, wanted[0], wanted[1], 0, it.LoadReport(3, 9))]
 
 
 def test_the_normal_end_of_an_earlier_attempt_does_not_end_the_one_that_is_out() -> None:
@@ -240,9 +245,9 @@
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.set_up(order(CALL))
         peer = await accepted(far)
-        await asyncio.to_thread(peer.expect, Kind.SET_UP)
+        await asyncio.to_thread(peer.expect, MessageType.SET_UP)
         peer.release(CALL, 16)
-        peer.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
+        peer.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
         told = [await events.told.get()]
         while told[-1][0] not in ("ended", "stood"):
             told.append(await events.told.get())
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from arrowkeel.net.codec import Code, Kind, ReleaseCause, encode
+from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import ClockOffset, read_config
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE
 from arrowkeel.net.service import Service
 from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
 
@@ -37,8 +37,8 @@
 
 def run_connection_test(caller: Peer) -> bytes:
     """Tests the connection and returns the result byte: 1 while the program accepts calls, else 0."""
-    caller.send(Kind.TEST, OTHER, {Code.CAUSE: b"\x00"})
-    return caller.expect(Kind.TEST_RESULT, OTHER).parameters[Code.CAUSE]
+    caller.send(MessageType.TEST, OTHER, {Parameter.CAUSE: b"\x00"})
+    return caller.expect(MessageType.TEST_RESULT, OTHER).parameters[Parameter.CAUSE]
 
 
 def test_operators_are_answered_despite_silent_and_incomplete_requests(program: Program) -> None:
@@ -58,9 +58,9 @@
     caller = program.caller()
     program.standing(caller)
     caller.set_up(OTHER, dest=9)
-    caller.expect(Kind.RELEASE, OTHER)
+    caller.expect(MessageType.RELEASE, OTHER)
     caller.set_up(THIRD)
-    program.exchange.expect(Kind.SET_UP, THIRD)
+    program.exchange.expect(MessageType.SET_UP, THIRD)
     lines = program.ask("GET", "/status/metrics")[1].splitlines()
     counters = {
         name: int(value) for name, value in (line[:-2].split(":") for line in lines if line[-1] == "c")
@@ -92,19 +92,19 @@
     busy, idle = program.caller(), program.caller()
     program.standing(busy, THIRD)
     busy.set_up()
-    program.exchange.expect(Kind.SET_UP)
+    program.exchange.expect(MessageType.SET_UP)
     idle.tested()
     assert program.ask("POST", "/standby")[0] == 200 and program.ask("GET", "/status")[0] == 503
     assert idle.receive() is None
     assert run_connection_test(busy) == b"\x00"
-    program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-    busy.expect(Kind.ANSWER)
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+    busy.expect(MessageType.ANSWER)
     keep_open_until = time.monotonic() + 1.0
     # The last connection that has carried calls stays open, to receive the release of its standing call.
     while time.monotonic() < keep_open_until:
         assert run_connection_test(busy) == b"\x00"
     program.exchange.release(THIRD, 16)
-    busy.expect(Kind.RELEASE, THIRD)
+    busy.expect(MessageType.RELEASE, THIRD)
     assert busy.receive() is None
     assert program.ask("POST", "/active")[0] == 200 and program.ask("GET", "/status")[0] == 200
     returned = program.caller()
@@ -117,15 +117,15 @@
     program.standing(caller)
     program.standing(other, THIRD)
     program.exchange.release(THIRD, 16)
-    other.expect(Kind.RELEASE, THIRD)
+    other.expect(MessageType.RELEASE, THIRD)
     assert program.ask("POST", "/standby")[0] == 200
     assert other.receive() is None, "a connection without calls must be closed"
     time.sleep(4.2)
     caller.set_up(OTHER)
-    refusal = caller.expect(Kind.RELEASE, OTHER)
-    assert refusal.cause() == ReleaseCause.CONGESTION and refusal.whole(Code.REDIAL_AFTER) == 2000
+    refusal = caller.expect(MessageType.RELEASE, OTHER)
+    assert refusal.cause() == ReleaseCause.CONGESTION and refusal.integer(Parameter.REDIAL_AFTER) == 2000
     program.exchange.release(CALL, 16)
-    caller.expect(Kind.RELEASE)
+    caller.expect(MessageType.RELEASE)
     assert caller.receive() is None
     program.exchange.release(CALL, 16)  # a repeated release must not be kept for the next caller
     assert program.ask("POST", "/active")[0] == 200
@@ -146,8 +146,8 @@
     assert run_connection_test(fronts[1]) == b"\x00"
     returned = program.caller()
     returned.set_up(OTHER)
-    returned.expect(Kind.RELEASE, OTHER)  # so long after the switch to standby, set-ups are refused
-    assert returned.expect(Kind.RELEASE).cause() == 16
+    returned.expect(MessageType.RELEASE, OTHER)  # so long after the switch to standby, set-ups are refused
+    assert returned.expect(MessageType.RELEASE).cause() == 16
 
 
 def test_releases_during_a_hand_over_still_reach_a_caller(tmp_path: Path) -> None:
@@ -162,7 +162,7 @@
         service = Service(config)
         await service.start()
         reader, writer = await asyncio.open_connection(*address)
-        writer.write(encode(Kind.RELEASE, CALL, {Code.CAUSE: b"\x10"}))
+        writer.write(encode(MessageType.RELEASE, CALL, {Parameter.CAUSE: b"\x10"}))
         while not any(each.has_carried_calls for each in service.controller.callers.connections):
             await asyncio.sleep(0.01)
         service.stop()
@@ -191,20 +191,20 @@
     try:
         caller, idle = program.caller(), program.caller()
         caller.set_up()
-        program.exchange.expect(Kind.SET_UP)
+        program.exchange.expect(MessageType.SET_UP)
         idle.tested()
         program.start()
         first.terminate()
         assert idle.receive() is None
-        program.exchange.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-        caller.expect(Kind.ANSWER)
+        program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
+        caller.expect(MessageType.ANSWER)
         assert caller.receive() is None and first.wait(PATIENCE_S) == 0
         later_caller = program.caller()
         program.standing(later_caller, OTHER)
-        for _ in range(CONNECTIONS_KEPT):
+        for _ in range(CONNECTIONS_PER_EXCHANGE):
             program.exchange.ended.get(timeout=PATIENCE_S)
         program.exchange.release(CALL, 16)  # of a call that was established before this process started
-        assert later_caller.expect(Kind.RELEASE).cause() == 16
+        assert later_caller.expect(MessageType.RELEASE).cause() == 16
     finally:
         for process in (first, program.process):
             process.kill()
