--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -125,7 +125,7 @@
         """
         if self.state is ServiceState.READY:
             self.state = ServiceState.STANDBY
-            log.info("standby", **self.log_fields())
+            log.info("entered standby", **self.log_fields())
             self.controller.accepts_calls = False
             self.controller.callers.start_departure(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
@@ -134,7 +134,7 @@
         """Accepts calls again, if the process is in standby; returns whether it is ready."""
         if self.state is ServiceState.STANDBY:
             self.state = ServiceState.READY
-            log.info("standby ended", **self.log_fields())
+            log.info("left standby", **self.log_fields())
             self.controller.accepts_calls = True
             self.controller.callers.cancel_departure()
         return self.state is ServiceState.READY
