--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -42,7 +42,7 @@
 
 
 def test_operators_are_answered_despite_silent_and_incomplete_requests(program: Program) -> None:
-    """Connections without a complete request must not take every place that operators' connections have."""
+    """Connections without a complete request, more than are allowed at once, must not keep operators out."""
     silent = [socket.create_connection(program.operator_api, PATIENCE_S) for _ in range(60)]
     silent[-1].sendall(b"GET /sta")
     assert program.ask("GET", "/status")[0] == 200
@@ -120,7 +120,7 @@
     other.expect(MessageType.RELEASE, THIRD)
     assert program.ask("POST", "/standby")[0] == 200
     assert other.receive() is None, "a connection without calls must be closed"
-    time.sleep(4.2)
+    time.sleep(4.2)  # longer than the last connection stays open without calls, to carry releases
     caller.set_up(OTHER)
     refusal = caller.expect(MessageType.RELEASE, OTHER)
     assert refusal.cause() == ReleaseCause.CONGESTION and refusal.integer(Parameter.REDIAL_AFTER) == 2000
@@ -132,18 +132,18 @@
     program.standing(program.caller(), "00000000000000d4")
 
 
-def test_a_release_in_standby_waits_for_a_caller_and_is_not_sent_to_the_front(program: Program) -> None:
-    """The front only tests connections and passes no releases on: one that is sent to it is lost."""
+def test_a_release_in_standby_waits_for_a_caller_and_is_not_sent_to_a_front_end(program: Program) -> None:
+    """A front end only tests connections and passes no releases on: one that is sent to it is lost."""
     caller = program.caller()
     program.standing(caller)
     caller.socket.close()  # while its call is standing
     assert program.ask("POST", "/standby")[0] == 200
     time.sleep(2.0)  # after which set-ups are refused
-    fronts = [program.caller()]
-    assert run_connection_test(fronts[0]) == b"\x00"
+    front_ends = [program.caller()]
+    assert run_connection_test(front_ends[0]) == b"\x00"
     program.exchange.release(CALL, 16)
-    fronts.append(program.caller())
-    assert run_connection_test(fronts[1]) == b"\x00"
+    front_ends.append(program.caller())
+    assert run_connection_test(front_ends[1]) == b"\x00"
     returned = program.caller()
     returned.set_up(OTHER)
     returned.expect(MessageType.RELEASE, OTHER)  # so long after the switch to standby, set-ups are refused
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -86,7 +86,7 @@
     stop_began_at = terminate(program)
     for offset in range(0, len(message), 20):
         caller.socket.sendall(message[offset : offset + 20])
-        time.sleep(1.5 * 20 / len(message))
+        time.sleep(1.5 * 20 / len(message))  # 1.5 s for the whole message
     assert caller.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.CONGESTION
     assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
     assert time.monotonic() - stop_began_at < KILL_AFTER_S
