--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -100,7 +100,7 @@
     max_description_bytes: int  # of all open calls together, whose descriptions may still have to be sent
     max_table_entries: int  # of each table with small entries: ended calls, waiting releases, queued set-ups
     max_unsent_bytes: int  # buffered for one peer that does not read; beyond it the connection is closed
-    max_change_log_line_bytes: int
+    max_change_log_line_bytes: int  # buffered of a line that has not been received completely
 
     @classmethod
     def for_limits(
@@ -151,8 +151,8 @@
 def read_address(value: object, field: str, min_port: int = 1) -> Address:
     """Returns the address in a `host:port` text; raises ConfigError with the field's name."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    numeric = port.isascii() and port.isdigit() and len(port) <= 5
-    if not host or not colon or not numeric or not min_port <= int(port) < 65536:
+    is_port_number = port.isascii() and port.isdigit() and len(port) <= 5
+    if not host or not colon or not is_port_number or not min_port <= int(port) < 65536:
         raise ConfigError(f"{field}: {value!r} is not a valid host:port")
     return Address(host, int(port))
 
@@ -188,11 +188,11 @@
             rating=float(raw.get("weight", 1.0)),
             started_ns=clock_offset.to_monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
-        gone = listed.status is it.ExchangeStatus.GONE
-        return ExchangeEntry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
+        is_gone = listed.status is it.ExchangeStatus.GONE
+        return ExchangeEntry(listed, None if is_gone else read_address(raw["hostPort"], "hostPort"))
     except KeyError as error:
         raise MalformedListUpdateError(f"{error.args[0]}: missing") from None
-    except (TypeError, ValueError, AttributeError, OverflowError) as error:
+    except (TypeError, ValueError, AttributeError, OverflowError) as error:  # ConfigError is a ValueError
         raise MalformedListUpdateError(str(error)) from None
 
 
@@ -229,7 +229,7 @@
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"configuration: not valid JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise ConfigError("configuration: not an object")
+        raise ConfigError("configuration: not a JSON object")
     limits, known = read_field(raw, "limits", dict), read_field(raw, "known", dict)
     settings = read_field(raw, "settings", dict)
     try:
