--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -112,7 +112,7 @@
     def dial_later(self) -> None:
         if self.closed or self.redial is not None:
             return
-        most_ns = REDIAL_WATCHED_NS if self.liveness.has_calls() else REDIAL_MOST_NS
+        most_ns = REDIAL_WATCHED_NS if self.liveness.has_standing_calls() else REDIAL_MOST_NS
         gap_ns = min(self.redial_gap_ns, most_ns)
         self.redial_gap_ns = min(2 * self.redial_gap_ns, REDIAL_MOST_NS)
         self.redial = asyncio.get_running_loop().call_later(gap_ns / 1e9, self.dial)
@@ -163,7 +163,7 @@
             self.handler.attempt_ended(call, it.Ending.NO_CONNECTION)
         now = time.monotonic_ns()
         if failure is DialFailure.TIMED_OUT:
-            self.liveness.dial_timed_out()
+            self.liveness.record_dial_timeout()
         if failure is DialFailure.REFUSED and self.refusal_vouches(now):
             self.vouched_ns = now  # quiet, not lost: the next dial is due when it still is
             return
@@ -174,18 +174,18 @@
         self.dial_later()
 
     def refusal_vouches(self, now_ns: int) -> bool:
-        return self.liveness.dial_refused([each.number for each in self.usable()], now_ns)
+        return self.liveness.record_refused_dial([each.number for each in self.usable()], now_ns)
 
     # What connections tell
 
     def connection_opened(self, connection: ExchangeConnection) -> None:
-        self.liveness.opened(connection.number, time.monotonic_ns())
+        self.liveness.add_connection(connection.number, time.monotonic_ns())
 
     def connection_lost(self, connection: ExchangeConnection, loss: ConnectionLoss) -> None:
         """The set-ups open on it end with it, and may have run; the next one is dialled at once."""
         now = time.monotonic_ns()
         by_peer = loss in (ConnectionLoss.CLOSED_BY_PEER, ConnectionLoss.RESET)
-        self.liveness.closed(connection.number, now, by_peer)
+        self.liveness.remove_connection(connection.number, now, by_peer)
         if connection not in self.connections:
             return
         self.connections.remove(connection)
@@ -216,7 +216,7 @@
             self.dial_later()
 
     def connection_heard(self, connection: ExchangeConnection) -> None:
-        self.liveness.heard(connection.number, connection.heard_ns)
+        self.liveness.record_evidence(connection.number, connection.heard_ns)
         if self.is_silent:
             self.is_silent = False
             log.info("exchange heard again", silent_ms=self.silent_ms(), **self.facts(connection))
@@ -227,7 +227,7 @@
 
     def record_standing_call(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
         """A call stands from now on, at the process behind this connection."""
-        self.liveness.established(connection.number, call, circuits)
+        self.liveness.add_call(connection.number, call, circuits)
 
     def attempt_ended(
         self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
@@ -238,7 +238,7 @@
         self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
     ) -> None:
         if cause == ReleaseCause.NORMAL:
-            self.liveness.completed(connection.number, call)
+            self.liveness.record_normal_end(connection.number, call)
         self.handler.released_by_exchange(self, call, cause, report)
 
     def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None:
@@ -248,7 +248,7 @@
         """
         if report is not None and report.free_circuits is not None and report.group_size:
             state = GroupState(report.free_circuits, report.group_size)
-            self.liveness.state_told(connection.number, state, connection.heard_ns)
+            self.liveness.record_group_state(connection.number, state, connection.heard_ns)
         connection.behind_ns = 0
         for other in self.connections:
             if other.state == connection.state:
@@ -267,7 +267,7 @@
         self.swept_ns = now_ns
         if self.closed or (self.was_late and not was_late):
             return  # we stood still ourselves, and what has come is read before the next sweep
-        if expired := self.liveness.take_expired(now_ns):
+        if expired := self.liveness.remove_expired_calls(now_ns):
             self.handler.leases_expired(self, expired)
         mute = [each for each in self.connections if each.is_mute(now_ns)]
         all_mute = len(mute) == len(self.connections)
@@ -283,12 +283,12 @@
     def close_mute(self, mute: list[ExchangeConnection]) -> None:
         """One that alone leads to a process with standing calls is kept: if it speaks, that process lives."""
         for connection in mute:
-            if connection.set_ups or not self.liveness.is_witness(connection.number):
+            if connection.set_ups or not self.liveness.must_keep_open(connection.number):
                 connection.abort_as(ConnectionLoss.MUTE)
 
     def close_spare(self) -> None:
         unused = [each for each in self.connections if not each.set_ups]
-        spare = next((each for each in unused if not self.liveness.is_witness(each.number)), None)
+        spare = next((each for each in unused if not self.liveness.must_keep_open(each.number)), None)
         if spare is not None:
             spare.close()
 
