--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -1,4 +1,8 @@
-"""What both sides' connections have in common: decoding, bounded writing, a sparse log of bad input."""
+"""The base of connections to exchanges and from callers: decoding, bounded writing, rate-limited logging.
+
+A peer that sends malformed messages or stops reading has its connection closed, with a limited number of log
+entries and limited memory.
+"""
 
 from __future__ import annotations
 
@@ -16,33 +20,40 @@
 
 from arrowkeel.net.codec import Decoder, MalformedMessageError, Message
 
-SPARSE_NS = 5_000_000_000  # one line of a kind in so long; how many were left out is told with the next
+# Minimum time between two entries of the same event; the next entry says how many were left out in between.
+LOG_INTERVAL_NS = 5_000_000_000
 
 
 connection_numbers = itertools.count(1)
 
 
 class RateLimitedLog:
-    """What bad input causes is logged now and then: a flood of it must not flood the log too."""
+    """A logger that writes each event at most once per interval.
+
+    It is used for what bad input causes, so that a flood of such input does not flood the log as well.
+    """
 
     def __init__(self) -> None:
         self.log = structlog.get_logger()
-        self.since: dict[str, tuple[int, int]] = {}  # by event: when it was last told, how many since
+        self.last_entries: dict[
+            str, tuple[int, int]
+        ] = {}  # event -> (when last written, entries left out since)
 
-    def info(self, event: str, **facts: Any) -> None:
-        self.write(self.log.info, event, facts)
+    def info(self, event: str, **fields: Any) -> None:
+        self.write(self.log.info, event, fields)
 
-    def warning(self, event: str, **facts: Any) -> None:
-        self.write(self.log.warning, event, facts)
+    def warning(self, event: str, **fields: Any) -> None:
+        self.write(self.log.warning, event, fields)
 
-    def write(self, log: Callable[..., Any], event: str, facts: dict[str, Any]) -> None:
+    def write(self, write_entry: Callable[..., Any], event: str, fields: dict[str, Any]) -> None:
+        """Writes the entry, or counts it if the event was written less than an interval ago."""
         now = time.monotonic_ns()
-        told_ns, left_out = self.since.get(event, (-SPARSE_NS, 0))
-        if now - told_ns < SPARSE_NS:
-            self.since[event] = (told_ns, left_out + 1)
+        written_at_ns, left_out = self.last_entries.get(event, (-LOG_INTERVAL_NS, 0))
+        if now - written_at_ns < LOG_INTERVAL_NS:
+            self.last_entries[event] = (written_at_ns, left_out + 1)
             return
-        self.since[event] = (now, 0)
-        log(event, left_out=left_out, **facts)
+        self.last_entries[event] = (now, 0)
+        write_entry(event, left_out=left_out, **fields)
 
 
 log = RateLimitedLog()
@@ -50,23 +61,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRelease:
-    """A release written to a connection, held for as long as the connection may still lose it."""
+    """A release written to a connection, kept to be sent again if the connection loses it."""
 
     cause: int
-    sent_ns: int
+    sent_ns: int  # when it was written
 
 
 class MessageConnection(asyncio.Protocol):
-    """One connection that carries messages of many calls."""
+    """One connection that carries messages of many calls.
+
+    Subclasses implement `handle_message`. `peer_name` names the peer in the log; a peer that leaves more than
+    `unsent_limit_bytes` unread is disconnected.
+    """
 
-    def __init__(self, side: str, unsent_limit: int) -> None:
-        self.side = side
-        self.number = next(connection_numbers)  # names this connection in the log
-        self.unsent_limit = unsent_limit  # bytes that the peer may leave unread
+    def __init__(self, peer_name: str, unsent_limit_bytes: int) -> None:
+        self.peer_name = peer_name
+        self.number = next(connection_numbers)  # identifies this connection in the log
+        self.unsent_limit_bytes = unsent_limit_bytes
         self.decoder = Decoder()
         self.transport: asyncio.Transport | None = None
-        self.incomplete_since_ns = 0  # since when a message is begun and not whole; 0 while none is
-        self.closing_since_ns = 0
+        self.incomplete_since_ns = 0  # since when an incomplete message is buffered; 0 while none is
+        self.closing_since_ns = 0  # when `close` was first called; 0 before
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -77,11 +92,11 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have come that the loop has not handed over yet."""
-        held = self.transport.get_extra_info("socket") if self.transport is not None else None
-        if held is None or held.fileno() < 0:
+        """Whether the socket holds received bytes that the event loop has not delivered yet."""
+        sock = self.transport.get_extra_info("socket") if self.transport is not None else None
+        if sock is None or sock.fileno() < 0:
             return False
-        count: int = struct.unpack("i", fcntl.ioctl(held.fileno(), termios.FIONREAD, b"\0" * 4))[0]
+        count: int = struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.FIONREAD, b"\0" * 4))[0]
         return count > 0
 
     def data_received(self, data: bytes) -> None:
@@ -98,29 +113,32 @@
             self.incomplete_since_ns = time.monotonic_ns()
 
     def handle_protocol_error(self, reason: str) -> None:
-        """What comes on this connection can't be told apart any more: it is closed."""
+        """Closes the connection: after malformed input, message boundaries can't be found any more."""
         log.warning(
-            "malformed message, connection closed", side=self.side, connection=self.number, reason=reason
+            "malformed message, connection closed", side=self.peer_name, connection=self.number, reason=reason
         )
         self.abort()
 
     def handle_message(self, message: Message) -> None:
+        """Handles one received message; raises `MalformedMessageError` if its contents can't be used."""
         raise NotImplementedError
 
     def write(self, data: bytes) -> bool:
-        """Whether the bytes were handed to the connection."""
+        """Queues the bytes for sending; returns whether the connection accepted them."""
         if self.transport is None or self.transport.is_closing():
             return False
-        # A peer that has stopped reading must not fill our memory: what it would not read is given up.
-        if self.transport.get_write_buffer_size() + len(data) > self.unsent_limit:
-            log.warning("peer stopped reading, connection closed", side=self.side, connection=self.number)
+        # A peer that has stopped reading must not fill the memory: what it has not read is discarded.
+        if self.transport.get_write_buffer_size() + len(data) > self.unsent_limit_bytes:
+            log.warning(
+                "peer stopped reading, connection closed", side=self.peer_name, connection=self.number
+            )
             self.abort()
             return False
         self.transport.write(data)
         return True
 
     def pause_writing(self) -> None:
-        """While it reads nothing it may not ask for more either."""
+        """Stops reading while the peer does not read, so that it can't cause more output."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
@@ -129,11 +147,12 @@
             self.transport.resume_reading()
 
     def abort(self) -> None:
+        """Closes the connection at once and discards what has not been sent."""
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """What was written still leaves."""
+        """Closes the connection after everything written so far has been sent."""
         if self.transport is not None:
             self.closing_since_ns = self.closing_since_ns or time.monotonic_ns()
             self.transport.close()
