--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -1,4 +1,8 @@
-"""One connection to an exchange: set-ups out, their ends and the group's states back."""
+"""One connection to an exchange.
+
+It sends set-ups and releases, and turns received messages into calls of `ExchangeEvents`: answers, releases
+and reports of the circuit group's state. It also detects when the connection has become unresponsive.
+"""
 
 from __future__ import annotations
 
@@ -17,23 +21,31 @@
 from arrowkeel.net.metrics import ConnectionLoss
 
 log = structlog.get_logger()
-# A set-up takes a circuit, and the group's state comes at once on each connection: one that brings nothing
-# for so long after a set-up, or lacks a state that another has, is mute, however open it looks.
-MUTE_NS = 250 * MS
-ENDINGS: dict[int, it.Ending] = {
+# When a set-up takes a circuit, the exchange reports the group's state on each connection at once. So a
+# connection is unresponsive, even if it looks open, once nothing has been received on it for this long after
+# a set-up, or once it has lacked for this long a state that another connection has received.
+RESPONSE_TIMEOUT_NS = 250 * MS
+# How an attempt ended, by the cause in the release of its set-up.
+ENDING_BY_CAUSE: dict[int, it.Ending] = {
     ReleaseCause.NO_CIRCUIT: it.Ending.TURNED_AWAY,
     ReleaseCause.NEVER_LEFT: it.Ending.NOT_SENT,
     ReleaseCause.TEMPORARY_FAILURE: it.Ending.CUT,
     ReleaseCause.USER_BUSY: it.Ending.NUMBER_BUSY,
     ReleaseCause.UNAVAILABLE: it.Ending.NUMBER_BUSY,
 }
-# The codes that the simulator's wire has for these notes, so that `wire` alone says what they mean.
-NOTES = {"group_full": 1, "tandem_refused": 2, "processor_full": 3, "user_busy": 4, "destination_full": 18}
+# The codes of these notes in the simulator's protocol: their meaning is defined in `wire` alone.
+NOTE_CODES = {
+    "group_full": 1,
+    "tandem_refused": 2,
+    "processor_full": 3,
+    "user_busy": 4,
+    "destination_full": 18,
+}
 
 
 @dataclass(frozen=True, slots=True)
 class SetUpRequest:
-    """A set-up to pass on: what the caller sent, and when it is abandoned at the latest."""
+    """A set-up to send to an exchange: what the caller sent, and the latest time to wait for an answer."""
 
     call: str
     class_name: str
@@ -43,36 +55,41 @@
 
 
 class ExchangeEvents(Protocol):
-    """What a connection tells of what comes on it, and of its own life."""
+    """What a connection reports to its owner: the messages that it has received, and its own start and end.
+
+    `report_names` lists the values of a report in the order of the configuration.
+    """
 
     report_names: tuple[str, ...]
 
     def connection_opened(self, connection: ExchangeConnection) -> None: ...
     def connection_lost(self, connection: ExchangeConnection, loss: ConnectionLoss) -> None: ...
-    def connection_heard(self, connection: ExchangeConnection) -> None: ...
-    def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None: ...
+    def message_received(self, connection: ExchangeConnection) -> None: ...
+    def call_answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None: ...
     def attempt_ended(
         self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
     ) -> None: ...
-    def released(
+    def call_released(
         self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
     ) -> None: ...
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None: ...
+    def group_state_received(self, connection: ExchangeConnection, report: it.Report | None) -> None: ...
 
 
 class ExchangeConnection(MessageConnection):
-    """One connection to an exchange, from its dial on."""
+    """One connection to an exchange, created before it is dialled."""
 
-    def __init__(self, exchange: str, unsent_limit: int, events: ExchangeEvents) -> None:
-        super().__init__(f"exchange {exchange}", unsent_limit)
+    def __init__(self, exchange: str, unsent_limit_bytes: int, events: ExchangeEvents) -> None:
+        super().__init__(f"exchange {exchange}", unsent_limit_bytes)
         self.events = events
-        self.set_ups: set[str] = set()  # sent here and not yet answered
-        self.releases: dict[str, SentRelease] = {}  # that this connection may still lose
-        self.state = b""  # the group's state as last told here
-        self.heard_ns = time.monotonic_ns()
-        self.asked_ns = 0  # when the first set-up left that nothing has been heard after
-        self.behind_ns = 0  # since when another connection knows a state that this one does not
-        self.loss: ConnectionLoss | None = None  # why it ends, where we end it
+        self.open_set_ups: set[str] = set()  # call ids; sent here and neither answered nor released
+        self.unconfirmed_releases: dict[str, SentRelease] = {}  # by call id; they may still be lost
+        self.raw_group_state = b""  # the parameter of the last group state received here
+        self.last_received_at_ns = time.monotonic_ns()
+        # When the first set-up was sent after the last received message; 0 if none was.
+        self.awaiting_since_ns = 0
+        # Since when another connection has received a state that this one lacks; 0 if none has.
+        self.state_missing_since_ns = 0
+        self.loss: ConnectionLoss | None = None  # why it ends, if this side ends it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -83,23 +100,29 @@
         self.events.connection_lost(self, loss)
 
     def abort_as(self, loss: ConnectionLoss) -> None:
-        """End it at once; what was written and not sent is dropped."""
+        """Closes the connection at once, for this reason; output that has not been sent is discarded."""
         self.loss = loss
         self.abort()
 
     def close(self) -> None:
+        """Closes the connection once its output has been sent; keeps a reason that is already set."""
         self.loss = self.loss or ConnectionLoss.CLOSED_BY_US
         super().close()
 
-    def is_mute(self, now_ns: int) -> bool:
-        """Whether something is due on it for so long that it must be taken to be dead."""
-        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.incomplete_since_ns) if ns]
-        return bool(since_ns) and now_ns - min(since_ns) > MUTE_NS
+    def is_unresponsive(self, now_ns: int) -> bool:
+        """Whether a message has been due on it for so long that the connection must be taken for dead."""
+        overdue_since_ns = [
+            ns for ns in (self.awaiting_since_ns, self.state_missing_since_ns, self.incomplete_since_ns) if ns
+        ]
+        return bool(overdue_since_ns) and now_ns - min(overdue_since_ns) > RESPONSE_TIMEOUT_NS
 
-    def set_up(self, request: SetUpRequest, now_ns: int) -> bool:
-        """Whether the set-up was written; it counts as open here in any case, until the connection ends."""
-        self.set_ups.add(request.call)
-        self.asked_ns = self.asked_ns or now_ns
+    def send_set_up(self, request: SetUpRequest, now_ns: int) -> bool:
+        """Sends a set-up and returns whether it was written.
+
+        The set-up counts as open on this connection in any case, until the connection ends.
+        """
+        self.open_set_ups.add(request.call)
+        self.awaiting_since_ns = self.awaiting_since_ns or now_ns
         parameters: dict[int, bytes | str] = {
             Code.CLASS: request.class_name,
             Code.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
@@ -108,74 +131,86 @@
         }
         return self.write(encode(Kind.SET_UP, request.call, parameters))
 
-    def release(self, call: str, cause: int, most_held: int) -> bool:
-        """Whether the release was written; up to `most_held` are held while they can still be lost."""
+    def send_release(self, call: str, cause: int, max_kept: int) -> bool:
+        """Sends a release and returns whether it was written.
+
+        Up to `max_kept` releases are kept while the connection may still lose them, to be sent again.
+        """
         if not self.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))})):
             return False
-        if len(self.releases) < most_held:
-            self.releases[call] = SentRelease(cause, time.monotonic_ns())
+        if len(self.unconfirmed_releases) < max_kept:
+            self.unconfirmed_releases[call] = SentRelease(cause, time.monotonic_ns())
         return True
 
     def handle_message(self, message: Message) -> None:
         if message.flaw:
             raise MalformedMessageError(message.flaw)
-        self.hear()
+        self.record_received()
         match message.kind:
             case Kind.ANSWER:
-                self.take_answer(message)
+                self.handle_answer(message)
             case Kind.RELEASE:
-                self.take_release(message)
+                self.handle_release(message)
             case Kind.GROUP_STATE:
-                report = self.report(message)
-                self.state = message.parameters.get(Code.REPORT, b"")
-                self.events.state_told(self, report)
+                report = self.decode_report(message)
+                self.raw_group_state = message.parameters.get(Code.REPORT, b"")
+                self.events.group_state_received(self, report)
             case Kind.PROGRESS | Kind.RELEASE_HEARD | Kind.TEST_RESULT:
                 pass
             case _:
-                raise MalformedMessageError(f"type {message.kind} is nothing an exchange sends")
+                raise MalformedMessageError(f"type {message.kind} is not sent by exchanges")
 
-    def hear(self) -> None:
-        """Something was read: the connection is not mute, and what was written a while ago has arrived."""
-        self.heard_ns, self.asked_ns = time.monotonic_ns(), 0
-        self.releases = {
+    def record_received(self) -> None:
+        """Notes that a message was received: the connection works, and earlier output has arrived."""
+        self.last_received_at_ns, self.awaiting_since_ns = time.monotonic_ns(), 0
+        self.unconfirmed_releases = {
             call: release
-            for call, release in self.releases.items()
-            if self.heard_ns - release.sent_ns < MUTE_NS
+            for call, release in self.unconfirmed_releases.items()
+            if self.last_received_at_ns - release.sent_ns < RESPONSE_TIMEOUT_NS
         }
-        self.events.connection_heard(self)
+        self.events.message_received(self)
+
+    def handle_answer(self, message: Message) -> None:
+        """Passes on the answer to an open set-up.
 
-    def take_answer(self, message: Message) -> None:
-        """An answer that crossed our give-up is of no call any more: the give-up releases it there."""
-        if message.call not in self.set_ups:
+        An answer that crossed the cancellation of its set-up is ignored: the release that was sent for the
+        cancellation ends the call at the exchange.
+        """
+        if message.call not in self.open_set_ups:
             return
         description = message.parameters.get(Code.DESCRIPTION)
         if description is None:
             raise MalformedMessageError(f"parameter {Code.DESCRIPTION.value}: missing")
-        self.set_ups.discard(message.call)
-        self.events.answered(self, message.call, description)
-
-    def take_release(self, message: Message) -> None:
-        cause, report = message.cause(), self.report(message)
-        note = NOTES.get(message.text(Code.NOTE, ""), 0)
-        if message.call not in self.set_ups:
-            self.events.released(self, message.call, cause, report)
+        self.open_set_ups.discard(message.call)
+        self.events.call_answered(self, message.call, description)
+
+    def handle_release(self, message: Message) -> None:
+        """Passes on the end of an open set-up, or of a standing call."""
+        cause, report = message.cause(), self.decode_report(message)
+        note = NOTE_CODES.get(message.text(Code.NOTE, ""), 0)
+        if message.call not in self.open_set_ups:
+            self.events.call_released(self, message.call, cause, report)
             return
         if cause == ReleaseCause.NORMAL:
-            # Told after an answer only: an earlier attempt of this call stood, with its answer lost, and has
-            # ended. Taken for this one's end it would send the call a second time while it is out.
-            log.info("end of an earlier attempt", call=message.call, connection=self.number)
+            # Exchanges send this cause only after an answer: an earlier attempt of this call was answered,
+            # the answer was lost, and that call has ended. If this were taken for the end of the current
+            # attempt, the call would be sent a second time while its set-up is still open.
+            log.info(
+                "normal release of an earlier attempt ignored", call=message.call, connection=self.number
+            )
             return
-        self.set_ups.discard(message.call)
-        ending = ENDINGS.get(cause, it.Ending.NUMBER_BUSY)
+        self.open_set_ups.discard(message.call)
+        ending = ENDING_BY_CAUSE.get(cause, it.Ending.NUMBER_BUSY)
         self.events.attempt_ended(message.call, ending, *wire.read_cause(note), report)
 
-    def report(self, message: Message) -> it.Report | None:
-        figures = message.figures(Code.REPORT)
-        if not figures:
+    def decode_report(self, message: Message) -> it.Report | None:
+        """The report in a message, or None if it has none; values that are missing count as unknown."""
+        values = message.figures(Code.REPORT)
+        if not values:
             return None
         names = self.events.report_names
-        row = ",".join(figures.get(name, "-1") for name in names)
+        load = ",".join(values.get(name, "-1") for name in names)
         try:
-            return wire.read_report({"load": row}, names)
+            return wire.read_report({"load": load}, names)
         except (wire.MalformedError, ValueError) as error:
             raise MalformedMessageError(f"parameter {Code.REPORT.value}: {error}") from None
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -14,7 +14,7 @@
 from arrowkeel.net.codec import ReleaseCause
 from arrowkeel.net.config import MS, Address, Config
 from arrowkeel.net.connection import RateLimitedLog
-from arrowkeel.net.exchange_connection import MUTE_NS, ExchangeConnection, SetUpRequest
+from arrowkeel.net.exchange_connection import RESPONSE_TIMEOUT_NS, ExchangeConnection, SetUpRequest
 from arrowkeel.net.metrics import ConnectionLoss
 
 REDIAL_FIRST_NS, REDIAL_MOST_NS = 50 * MS, 1000 * MS  # between dials to an exchange that takes none
@@ -96,7 +96,7 @@
 
     def usable(self) -> list[ExchangeConnection]:
         now = time.monotonic_ns()
-        return [each for each in self.connections if each.is_open and not each.is_mute(now)]
+        return [each for each in self.connections if each.is_open and not each.is_unresponsive(now)]
 
     # Dials
 
@@ -192,12 +192,12 @@
         self.handler.exchange_connection_lost(loss)
         if not self.closed:
             log.info("exchange connection lost", reason=loss.value, **self.facts(connection))
-        lost = {call: release.cause for call, release in connection.releases.items()}
-        for call in sorted(connection.set_ups):
+        lost = {call: release.cause for call, release in connection.unconfirmed_releases.items()}
+        for call in sorted(connection.open_set_ups):
             self.handler.attempt_ended(call, it.Ending.CUT)
             # Guards circuits: the exchange may have taken the call as standing, with its answer lost here.
             lost[call] = ReleaseCause.NORMAL
-        connection.set_ups.clear()
+        connection.open_set_ups.clear()
         if self.closed:
             return
         for call, cause in lost.items():
@@ -215,14 +215,14 @@
         else:
             self.dial_later()
 
-    def connection_heard(self, connection: ExchangeConnection) -> None:
-        self.liveness.record_evidence(connection.number, connection.heard_ns)
+    def message_received(self, connection: ExchangeConnection) -> None:
+        self.liveness.record_evidence(connection.number, connection.last_received_at_ns)
         if self.is_silent:
             self.is_silent = False
             log.info("exchange heard again", silent_ms=self.silent_ms(), **self.facts(connection))
-        self.heard_ns = connection.heard_ns
+        self.heard_ns = connection.last_received_at_ns
 
-    def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None:
+    def call_answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None:
         self.handler.call_established(self, connection, call, description)
 
     def record_standing_call(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
@@ -234,42 +234,42 @@
     ) -> None:
         self.handler.attempt_ended(call, ending, cause, wait_ns, report)
 
-    def released(
+    def call_released(
         self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
     ) -> None:
         if cause == ReleaseCause.NORMAL:
             self.liveness.record_normal_end(connection.number, call)
         self.handler.released_by_exchange(self, call, cause, report)
 
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None:
+    def group_state_received(self, connection: ExchangeConnection, report: it.Report | None) -> None:
         """Every connection is told each state: one that does not get what another has got is mute.
 
         The decisions hear it once: a second copy would undo what they have counted off for set-ups since.
         """
         if report is not None and report.free_circuits is not None and report.group_size:
             state = GroupState(report.free_circuits, report.group_size)
-            self.liveness.record_group_state(connection.number, state, connection.heard_ns)
-        connection.behind_ns = 0
+            self.liveness.record_group_state(connection.number, state, connection.last_received_at_ns)
+        connection.state_missing_since_ns = 0
         for other in self.connections:
-            if other.state == connection.state:
-                other.behind_ns = 0
+            if other.raw_group_state == connection.raw_group_state:
+                other.state_missing_since_ns = 0
             elif other is not connection:
-                other.behind_ns = other.behind_ns or connection.heard_ns
-        if connection.state != self.told_state:
-            self.told_state = connection.state
+                other.state_missing_since_ns = other.state_missing_since_ns or connection.last_received_at_ns
+        if connection.raw_group_state != self.told_state:
+            self.told_state = connection.raw_group_state
             self.handler.group_state_reported(self.exchange, report)
 
     # Now and then
 
     def sweep(self, now_ns: int) -> None:
         """Replace what is mute or has long been quiet; its calls would wait, and their releases be lost."""
-        was_late, self.was_late = self.was_late, now_ns - self.swept_ns > MUTE_NS
+        was_late, self.was_late = self.was_late, now_ns - self.swept_ns > RESPONSE_TIMEOUT_NS
         self.swept_ns = now_ns
         if self.closed or (self.was_late and not was_late):
             return  # we stood still ourselves, and what has come is read before the next sweep
         if expired := self.liveness.remove_expired_calls(now_ns):
             self.handler.leases_expired(self, expired)
-        mute = [each for each in self.connections if each.is_mute(now_ns)]
+        mute = [each for each in self.connections if each.is_unresponsive(now_ns)]
         all_mute = len(mute) == len(self.connections)
         self.log_silence(now_ns, len(mute))
         if not all_mute:  # else the machine may be cut off: closing proves nothing
@@ -283,11 +283,11 @@
     def close_mute(self, mute: list[ExchangeConnection]) -> None:
         """One that alone leads to a process with standing calls is kept: if it speaks, that process lives."""
         for connection in mute:
-            if connection.set_ups or not self.liveness.must_keep_open(connection.number):
+            if connection.open_set_ups or not self.liveness.must_keep_open(connection.number):
                 connection.abort_as(ConnectionLoss.MUTE)
 
     def close_spare(self) -> None:
-        unused = [each for each in self.connections if not each.set_ups]
+        unused = [each for each in self.connections if not each.open_set_ups]
         spare = next((each for each in unused if not self.liveness.must_keep_open(each.number)), None)
         if spare is not None:
             spare.close()
@@ -299,7 +299,7 @@
         if self.closed or not self.serving:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         elif connections := self.usable():
-            self.send(request, min(connections, key=lambda each: len(each.set_ups)))
+            self.send(request, min(connections, key=lambda each: len(each.open_set_ups)))
         elif len(self.queue) >= self.bounds.records:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         else:
@@ -315,8 +315,8 @@
         # Guards the call that stands next: a release of its last attempt must not be sent again after this.
         self.waiting_releases.pop(request.call, None)
         for other in self.connections:
-            other.releases.pop(request.call, None)
-        if connection.set_up(request, now):
+            other.unconfirmed_releases.pop(request.call, None)
+        if connection.send_set_up(request, now):
             self.handler.set_up_sent()
 
     def flush_queue(self) -> None:
@@ -329,8 +329,8 @@
         if self.queue.pop(call, None) is not None:
             return False
         for connection in self.connections:
-            if call in connection.set_ups:
-                connection.set_ups.discard(call)
+            if call in connection.open_set_ups:
+                connection.open_set_ups.discard(call)
                 # There, where it can't overtake the set-up.
                 self.release(call, ReleaseCause.NORMAL, connection)
         return True
@@ -338,7 +338,7 @@
     def release(self, call: str, cause: int, connection: ExchangeConnection | None = None) -> None:
         """Release a call there, on that connection or any; it waits until one exists."""
         connection = connection or next(iter(self.usable()), None)
-        if connection is not None and connection.release(call, cause, self.bounds.records):
+        if connection is not None and connection.send_release(call, cause, self.bounds.records):
             return
         if len(self.waiting_releases) < self.bounds.records:
             self.waiting_releases[call] = cause
@@ -377,8 +377,8 @@
             "exchange": self.exchange,
             "connection": connection.number,
             "connections": len(self.connections),
-            "set_ups": len(connection.set_ups),
-            "heard_ms_ago": (time.monotonic_ns() - connection.heard_ns) // MS,
+            "set_ups": len(connection.open_set_ups),
+            "heard_ms_ago": (time.monotonic_ns() - connection.last_received_at_ns) // MS,
         }
 
     def silent_ms(self) -> int:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -169,12 +169,12 @@
         first, second = pool.connections
         for call in (CALL, OTHER, third):
             pool.set_up(order(call))
-        assert first.set_ups == {CALL, third}
+        assert first.open_set_ups == {CALL, third}
         pool.cancel_set_up(CALL)
-        second.set_ups.clear()
+        second.open_set_ups.clear()
         pool.set_up(order(CALL))
-        assert second.set_ups == {CALL}
-        first.asked_ns = 1  # mute since long ago
+        assert second.open_set_ups == {CALL}
+        first.awaiting_since_ns = 1  # mute since long ago
         await swept(pool, lambda: first not in pool.connections)
         pool.release("f" * 16, 16)
         came: list[tuple[int, str]] = []
