--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -1,4 +1,9 @@
-"""The connections to one exchange: a bounded pool, who carries what, and when one is dialled or replaced."""
+"""The connections to one exchange.
+
+A pool dials, replaces and closes connections within fixed bounds, distributes set-ups and releases over them,
+queues what no connection can carry yet, and reports to the controller what the exchange answers. It also
+tracks whether the process that holds the standing calls is still alive.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +22,26 @@
 from arrowkeel.net.exchange_connection import RESPONSE_TIMEOUT_NS, ExchangeConnection, SetUpRequest
 from arrowkeel.net.metrics import ConnectionLoss
 
-REDIAL_FIRST_NS, REDIAL_MOST_NS = 50 * MS, 1000 * MS  # between dials to an exchange that takes none
-REDIAL_WATCHED_NS = 250 * MS  # the most while calls stand there: their lease runs
-DEAD_AFTER_NS = 2000 * MS  # lost and then refused for so long: its process is gone, and its calls with it
-CONNECTIONS_PER_EXCHANGE = 2  # to one exchange
-MAX_CONNECTIONS_PER_EXCHANGE = 4  # with those that are to replace one
-SILENT_NS = 1000 * MS  # nothing heard on any connection for so long while one is mute: logged as silent
-QUIET_NS = 3000 * MS  # nothing heard at all: a new connection brings the state and the missed releases
+# The delay between dials to an exchange that accepts no connection or drops it at once: the first delay, and
+# the maximum that it doubles up to.
+INITIAL_REDIAL_DELAY_NS, MAX_REDIAL_DELAY_NS = 50 * MS, 1000 * MS
+# The maximum delay while the exchange holds standing calls, because their lease is running out.
+MAX_REDIAL_DELAY_WITH_CALLS_NS = 250 * MS
+# If a dial is refused later than this after the last connection was lost, the process and its calls are gone.
+PROCESS_DEAD_AFTER_NS = 2000 * MS
+CONNECTIONS_PER_EXCHANGE = 2  # the number that is kept open
+MAX_CONNECTIONS_PER_EXCHANGE = 4  # including the ones that are to replace another
+# An exchange is logged as silent if no connection has received anything for this long while one is
+# unresponsive.
+SILENCE_WARNING_NS = 1000 * MS
+# An exchange is dialled if no connection has received anything for this long: on a new connection it reports
+# the group state and the releases that were missed.
+MAX_IDLE_NS = 3000 * MS
 log = structlog.get_logger()
 
 
 class DialFailure(Enum):
-    """Why a connection did not come up."""
+    """Why a dial did not result in an open connection."""
 
     TIMED_OUT = "timed out"
     REFUSED = "refused"
@@ -37,7 +50,12 @@
 
 
 class ExchangeHandler(Protocol):
-    """What the controller does for connections to exchanges, whatever protocol they speak."""
+    """What the controller does with the events of an exchange, whatever protocol its connections speak.
+
+    `released_by_exchange` also covers calls from before the start of this process. `exchange_process_died`
+    means that all connections were lost and dials are refused. `leases_expired` names the standing calls for
+    whose process there is no recent evidence of life.
+    """
 
     def set_up_sent(self) -> None: ...
     def call_established(
@@ -63,61 +81,73 @@
 
 
 class ExchangePool:
-    """The connections to one exchange, keyed by its id: an address may come to belong to another.
+    """The connections to one exchange, identified by its id: its address may later belong to another one.
 
-    Two carry its calls, so that what spoils one leaves the other, and each shows whether the other is mute.
+    Its calls are spread over two connections, so that a fault of one leaves the other, and so that each shows
+    whether the other is unresponsive.
     """
 
     def __init__(self, exchange: str, address: Address, handler: ExchangeHandler, config: Config) -> None:
         self.exchange, self.address, self.handler = exchange, address, handler
         self.report_names, self.dial_ns, self.bounds = config.report_names, config.dial_ns, config.bounds
-        self.serving = True
-        self.closed = False
-        self.connections: list[ExchangeConnection] = []  # the open ones, the first opened first
+        self.is_serving = True
+        self.is_closed = False
+        self.connections: list[ExchangeConnection] = []  # the open ones, oldest first
         self.dial_task: asyncio.Task[None] | None = None
-        self.redial: asyncio.TimerHandle | None = None
-        self.redial_gap_ns = REDIAL_FIRST_NS
-        self.connected_at_ns = 0
-        self.lost_at_ns = 0  # when the last connection was lost, until the next one is open
-        self.swept_ns = 0
-        self.was_late = False  # the latest sweep came long after the one before
-        self.heard_ns = 0  # when anything was last heard, on any connection
-        self.vouched_ns = 0  # when a refused dial last showed that the process behind open connections lives
-        self.is_silent = False  # as the log was last told
-        self.sparse_log = RateLimitedLog()
+        self.redial_timer: asyncio.TimerHandle | None = None
+        self.redial_delay_ns = INITIAL_REDIAL_DELAY_NS
+        self.connected_at_ns = 0  # when the latest connection was established
+        self.lost_at_ns = 0  # when the last of the connections was lost, until the next is open; else 0
+        self.last_sweep_at_ns = 0
+        self.was_sweep_late = False  # the latest sweep came long after the one before it
+        self.last_received_at_ns = 0  # on any connection; 0 before the first message
+        # When a refused dial last showed that the process behind the open connections is alive.
+        self.refusal_evidence_at_ns = 0
+        self.is_silent = False  # as last logged
+        self.rate_limited_log = RateLimitedLog()
         self.liveness = ExchangeLiveness(config.settings.is_mesh)
-        self.told_state: bytes | None = None  # the group's state as the decisions were last told
-        self.queue: dict[str, SetUpRequest] = {}  # set-ups for the next connection
-        self.waiting_releases: dict[str, int] = {}  # for the next connection, with their causes
+        self.last_reported_state: bytes | None = None  # the group state last passed to the controller
+        self.queued_set_ups: dict[str, SetUpRequest] = {}  # by call id; for the next connection
+        self.waiting_releases: dict[str, int] = {}  # call id -> cause; for the next connection
 
     @property
     def is_open(self) -> bool:
         return any(connection.is_open for connection in self.connections)
 
-    def usable(self) -> list[ExchangeConnection]:
+    def usable_connections(self) -> list[ExchangeConnection]:
+        """The connections that are open and not unresponsive."""
         now = time.monotonic_ns()
         return [each for each in self.connections if each.is_open and not each.is_unresponsive(now)]
 
     # Dials
 
     def dial(self) -> None:
-        if self.closed or self.dial_task is not None or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE:
+        """Starts a dial at once, unless one is in progress or the maximum number of connections is open."""
+        if (
+            self.is_closed
+            or self.dial_task is not None
+            or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE
+        ):
             return
-        if self.redial is not None:
-            self.redial.cancel()
-            self.redial = None
+        if self.redial_timer is not None:
+            self.redial_timer.cancel()
+            self.redial_timer = None
         until_ns = time.monotonic_ns() + self.dial_ns
         self.dial_task = asyncio.get_running_loop().create_task(self.connect(until_ns))
 
-    def dial_later(self) -> None:
-        if self.closed or self.redial is not None:
+    def schedule_redial(self) -> None:
+        """Schedules the next dial after the current delay, and doubles the delay."""
+        if self.is_closed or self.redial_timer is not None:
             return
-        most_ns = REDIAL_WATCHED_NS if self.liveness.has_standing_calls() else REDIAL_MOST_NS
-        gap_ns = min(self.redial_gap_ns, most_ns)
-        self.redial_gap_ns = min(2 * self.redial_gap_ns, REDIAL_MOST_NS)
-        self.redial = asyncio.get_running_loop().call_later(gap_ns / 1e9, self.dial)
+        max_delay_ns = (
+            MAX_REDIAL_DELAY_WITH_CALLS_NS if self.liveness.has_standing_calls() else MAX_REDIAL_DELAY_NS
+        )
+        delay_ns = min(self.redial_delay_ns, max_delay_ns)
+        self.redial_delay_ns = min(2 * self.redial_delay_ns, MAX_REDIAL_DELAY_NS)
+        self.redial_timer = asyncio.get_running_loop().call_later(delay_ns / 1e9, self.dial)
 
     async def connect(self, until_ns: int) -> None:
+        """Dials once; gives up at `until_ns` on the monotonic clock."""
         loop = asyncio.get_running_loop()
         connection = ExchangeConnection(self.exchange, self.bounds.unsent, self)
         failure: DialFailure | None = None
@@ -135,54 +165,64 @@
             raise
         finally:
             self.dial_task = None
-        if self.closed:
+        if self.is_closed:
             connection.abort()
         elif failure is None and connection.is_open:
-            self.connected(connection)
+            self.handle_dial_success(connection)
         else:
-            self.not_connected(failure or DialFailure.ENDED)
+            self.handle_dial_failure(failure or DialFailure.ENDED)
 
-    def connected(self, connection: ExchangeConnection) -> None:
+    def handle_dial_success(self, connection: ExchangeConnection) -> None:
+        """Adds the connection to the pool and sends what has been waiting for one."""
         self.connections.append(connection)
-        log.info("exchange connected", **self.facts(connection))
+        log.info("exchange connected", **self.log_fields(connection))
         self.lost_at_ns, self.connected_at_ns = 0, time.monotonic_ns()
         waiting, self.waiting_releases = self.waiting_releases, {}
         for call, cause in waiting.items():
             self.release(call, cause, connection)
-        self.flush_queue()
+        self.resubmit_queued_set_ups()
         self.handler.exchange_connected(self)
         if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
             self.dial()
 
-    def not_connected(self, failure: DialFailure) -> None:
-        """What waited for this connection never ran; the next dial waits a while."""
+    def handle_dial_failure(self, failure: DialFailure) -> None:
+        """Ends the queued set-ups, none of which was sent, and schedules the next dial."""
         self.log_dial_failure(failure)
         self.handler.dial_failed()
-        queue, self.queue = self.queue, {}
-        for call in queue:
+        queued, self.queued_set_ups = self.queued_set_ups, {}
+        for call in queued:
             self.handler.attempt_ended(call, it.Ending.NO_CONNECTION)
         now = time.monotonic_ns()
         if failure is DialFailure.TIMED_OUT:
             self.liveness.record_dial_timeout()
-        if failure is DialFailure.REFUSED and self.refusal_vouches(now):
-            self.vouched_ns = now  # quiet, not lost: the next dial is due when it still is
+        if failure is DialFailure.REFUSED and self.record_refusal(now):
+            # The exchange is idle, not lost: the next dial is due if it still is after MAX_IDLE_NS.
+            self.refusal_evidence_at_ns = now
             return
-        if failure is DialFailure.REFUSED and self.lost_at_ns and now - self.lost_at_ns > DEAD_AFTER_NS:
-            # Guards against calls that nobody will release any more: their process has died.
+        if (
+            failure is DialFailure.REFUSED
+            and self.lost_at_ns
+            and now - self.lost_at_ns > PROCESS_DEAD_AFTER_NS
+        ):
+            # The process has died, so the exchange will never release its calls: the controller has to.
             self.lost_at_ns = 0
             self.handler.exchange_process_died(self)
-        self.dial_later()
+        self.schedule_redial()
 
-    def refusal_vouches(self, now_ns: int) -> bool:
-        return self.liveness.record_refused_dial([each.number for each in self.usable()], now_ns)
+    def record_refusal(self, now_ns: int) -> bool:
+        """Whether a refused dial is evidence that the process behind an open connection is alive."""
+        return self.liveness.record_refused_dial([each.number for each in self.usable_connections()], now_ns)
 
-    # What connections tell
+    # Events of connections
 
     def connection_opened(self, connection: ExchangeConnection) -> None:
         self.liveness.add_connection(connection.number, time.monotonic_ns())
 
     def connection_lost(self, connection: ExchangeConnection, loss: ConnectionLoss) -> None:
-        """The set-ups open on it end with it, and may have run; the next one is dialled at once."""
+        """Ends the set-ups that are open on the connection, and sends the releases again that may be lost.
+
+        The set-ups may have reached the exchange. The connection is replaced.
+        """
         now = time.monotonic_ns()
         by_peer = loss in (ConnectionLoss.CLOSED_BY_PEER, ConnectionLoss.RESET)
         self.liveness.remove_connection(connection.number, now, by_peer)
@@ -190,43 +230,46 @@
             return
         self.connections.remove(connection)
         self.handler.exchange_connection_lost(loss)
-        if not self.closed:
-            log.info("exchange connection lost", reason=loss.value, **self.facts(connection))
-        lost = {call: release.cause for call, release in connection.unconfirmed_releases.items()}
+        if not self.is_closed:
+            log.info("exchange connection lost", reason=loss.value, **self.log_fields(connection))
+        lost_releases = {call: release.cause for call, release in connection.unconfirmed_releases.items()}
         for call in sorted(connection.open_set_ups):
             self.handler.attempt_ended(call, it.Ending.CUT)
-            # Guards circuits: the exchange may have taken the call as standing, with its answer lost here.
-            lost[call] = ReleaseCause.NORMAL
+            # The call may be standing at the exchange, its answer lost: the release frees its circuits.
+            lost_releases[call] = ReleaseCause.NORMAL
         connection.open_set_ups.clear()
-        if self.closed:
+        if self.is_closed:
             return
-        for call, cause in lost.items():
+        for call, cause in lost_releases.items():
             self.release(call, cause)
         if not self.connections:
             self.lost_at_ns = now
         if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
-            self.replace_lost(now)
+            self.replace_lost_connection(now)
+
+    def replace_lost_connection(self, now_ns: int) -> None:
+        """Dials at once, or after a delay if a connection was established only a short time ago.
 
-    def replace_lost(self, now_ns: int) -> None:
-        """One that takes connections only to drop them is not dialled without pause."""
-        if now_ns - self.connected_at_ns > REDIAL_MOST_NS:
-            self.redial_gap_ns = REDIAL_FIRST_NS
+        An exchange that accepts connections and drops them at once is thus not dialled without pause.
+        """
+        if now_ns - self.connected_at_ns > MAX_REDIAL_DELAY_NS:
+            self.redial_delay_ns = INITIAL_REDIAL_DELAY_NS
             self.dial()
         else:
-            self.dial_later()
+            self.schedule_redial()
 
     def message_received(self, connection: ExchangeConnection) -> None:
         self.liveness.record_evidence(connection.number, connection.last_received_at_ns)
         if self.is_silent:
             self.is_silent = False
-            log.info("exchange heard again", silent_ms=self.silent_ms(), **self.facts(connection))
-        self.heard_ns = connection.last_received_at_ns
+            log.info("exchange no longer silent", silent_ms=self.silent_ms(), **self.log_fields(connection))
+        self.last_received_at_ns = connection.last_received_at_ns
 
     def call_answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None:
         self.handler.call_established(self, connection, call, description)
 
     def record_standing_call(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
-        """A call stands from now on, at the process behind this connection."""
+        """Records that a call is standing at the process behind this connection, under its lease."""
         self.liveness.add_call(connection.number, call, circuits)
 
     def attempt_ended(
@@ -242,9 +285,11 @@
         self.handler.released_by_exchange(self, call, cause, report)
 
     def group_state_received(self, connection: ExchangeConnection, report: it.Report | None) -> None:
-        """Every connection is told each state: one that does not get what another has got is mute.
+        """Updates what is known of the process and its connections, and passes a new state on.
 
-        The decisions hear it once: a second copy would undo what they have counted off for set-ups since.
+        The exchange reports each state on every connection: one that lacks what another has received becomes
+        unresponsive. The controller receives each state once: a second copy would undo the circuits that the
+        decisions have subtracted for set-ups since.
         """
         if report is not None and report.free_circuits is not None and report.group_size:
             state = GroupState(report.free_circuits, report.group_size)
@@ -255,38 +300,52 @@
                 other.state_missing_since_ns = 0
             elif other is not connection:
                 other.state_missing_since_ns = other.state_missing_since_ns or connection.last_received_at_ns
-        if connection.raw_group_state != self.told_state:
-            self.told_state = connection.raw_group_state
+        if connection.raw_group_state != self.last_reported_state:
+            self.last_reported_state = connection.raw_group_state
             self.handler.group_state_reported(self.exchange, report)
 
-    # Now and then
+    # Periodic checks
 
     def sweep(self, now_ns: int) -> None:
-        """Replace what is mute or has long been quiet; its calls would wait, and their releases be lost."""
-        was_late, self.was_late = self.was_late, now_ns - self.swept_ns > RESPONSE_TIMEOUT_NS
-        self.swept_ns = now_ns
-        if self.closed or (self.was_late and not was_late):
-            return  # we stood still ourselves, and what has come is read before the next sweep
+        """Expires leases, and replaces connections that are unresponsive or have been idle for long.
+
+        Calls on such a connection would wait in vain, and releases on it would be lost.
+        """
+        was_sweep_late, self.was_sweep_late = (
+            self.was_sweep_late,
+            now_ns - self.last_sweep_at_ns > RESPONSE_TIMEOUT_NS,
+        )
+        self.last_sweep_at_ns = now_ns
+        if self.is_closed or (self.was_sweep_late and not was_sweep_late):
+            return  # this process was stalled: what arrived meanwhile is read before the next sweep
         if expired := self.liveness.remove_expired_calls(now_ns):
             self.handler.leases_expired(self, expired)
-        mute = [each for each in self.connections if each.is_unresponsive(now_ns)]
-        all_mute = len(mute) == len(self.connections)
-        self.log_silence(now_ns, len(mute))
-        if not all_mute:  # else the machine may be cut off: closing proves nothing
-            self.close_mute(mute)
-        quiet = now_ns - max(self.heard_ns, self.vouched_ns, self.connected_at_ns) > QUIET_NS
-        if self.connections and (quiet or all_mute) and self.redial is None:
+        unresponsive = [each for each in self.connections if each.is_unresponsive(now_ns)]
+        are_all_unresponsive = len(unresponsive) == len(self.connections)
+        self.log_silence(now_ns, len(unresponsive))
+        if not are_all_unresponsive:  # otherwise the machine may be cut off, and closing shows nothing
+            self.close_unresponsive(unresponsive)
+        is_idle = (
+            now_ns - max(self.last_received_at_ns, self.refusal_evidence_at_ns, self.connected_at_ns)
+            > MAX_IDLE_NS
+        )
+        if self.connections and (is_idle or are_all_unresponsive) and self.redial_timer is None:
             self.dial()
         elif len(self.connections) > CONNECTIONS_PER_EXCHANGE:
-            self.close_spare()
+            self.close_spare_connection()
+
+    def close_unresponsive(self, unresponsive: list[ExchangeConnection]) -> None:
+        """Closes unresponsive connections, except for those that may still bring evidence of life.
 
-    def close_mute(self, mute: list[ExchangeConnection]) -> None:
-        """One that alone leads to a process with standing calls is kept: if it speaks, that process lives."""
-        for connection in mute:
+        The only connection to a process with standing calls is kept while no set-up is open on it: if data is
+        received on it after all, that process is alive.
+        """
+        for connection in unresponsive:
             if connection.open_set_ups or not self.liveness.must_keep_open(connection.number):
                 connection.abort_as(ConnectionLoss.MUTE)
 
-    def close_spare(self) -> None:
+    def close_spare_connection(self) -> None:
+        """Closes one connection more than is kept, if one is unused and is not needed as evidence."""
         unused = [each for each in self.connections if not each.open_set_ups]
         spare = next((each for each in unused if not self.liveness.must_keep_open(each.number)), None)
         if spare is not None:
@@ -295,49 +354,54 @@
     # Set-ups and releases
 
     def set_up(self, request: SetUpRequest) -> None:
-        """Send a set-up on the least used connection, or once one comes up, while the exchange serves."""
-        if self.closed or not self.serving:
+        """Sends a set-up on the connection with the fewest open ones, or queues it for the next connection.
+
+        The attempt ends as not sent if the exchange does not serve or the queue is full.
+        """
+        if self.is_closed or not self.is_serving:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
-        elif connections := self.usable():
-            self.send(request, min(connections, key=lambda each: len(each.open_set_ups)))
-        elif len(self.queue) >= self.bounds.records:
+        elif connections := self.usable_connections():
+            self.send_request(request, min(connections, key=lambda each: len(each.open_set_ups)))
+        elif len(self.queued_set_ups) >= self.bounds.records:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         else:
-            self.queue[request.call] = request
+            self.queued_set_ups[request.call] = request
             self.dial()
 
-    def send(self, request: SetUpRequest, connection: ExchangeConnection) -> None:
-        # Guards against a set-up that waited here and leaves after its caller's time.
+    def send_request(self, request: SetUpRequest, connection: ExchangeConnection) -> None:
+        """Sends a set-up on this connection, unless it is too late for it."""
+        # A set-up that was queued here must not be sent after its caller has stopped waiting.
         now = time.monotonic_ns()
         if request.abandon_at_ns - now < MS:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
             return
-        # Guards the call that stands next: a release of its last attempt must not be sent again after this.
+        # A release of an earlier attempt must not be sent again after this set-up: it would end this call.
         self.waiting_releases.pop(request.call, None)
         for other in self.connections:
             other.unconfirmed_releases.pop(request.call, None)
         if connection.send_set_up(request, now):
             self.handler.set_up_sent()
 
-    def flush_queue(self) -> None:
-        queue, self.queue = self.queue, {}
-        for request in queue.values():
+    def resubmit_queued_set_ups(self) -> None:
+        """Sends the queued set-ups, or ends them if the exchange does not serve any more."""
+        queued, self.queued_set_ups = self.queued_set_ups, {}
+        for request in queued.values():
             self.set_up(request)
 
     def cancel_set_up(self, call: str) -> bool:
-        """Give a set-up up; whether it had left, so that it may have run."""
-        if self.queue.pop(call, None) is not None:
+        """Cancels a set-up; returns whether it had been sent and may have reached the exchange."""
+        if self.queued_set_ups.pop(call, None) is not None:
             return False
         for connection in self.connections:
             if call in connection.open_set_ups:
                 connection.open_set_ups.discard(call)
-                # There, where it can't overtake the set-up.
+                # On the same connection, where the release can't overtake the set-up.
                 self.release(call, ReleaseCause.NORMAL, connection)
         return True
 
     def release(self, call: str, cause: int, connection: ExchangeConnection | None = None) -> None:
-        """Release a call there, on that connection or any; it waits until one exists."""
-        connection = connection or next(iter(self.usable()), None)
+        """Releases a call at the exchange, on that connection or any; it waits until there is one."""
+        connection = connection or next(iter(self.usable_connections()), None)
         if connection is not None and connection.send_release(call, cause, self.bounds.records):
             return
         if len(self.waiting_releases) < self.bounds.records:
@@ -345,25 +409,26 @@
             self.dial()
 
     def set_serving(self, serving: bool) -> None:
-        self.serving = serving
+        """Sets whether the exchange takes set-ups; queued ones end as not sent if it does not."""
+        self.is_serving = serving
         if not serving:
-            # Guards the drain rule: what waits for a connection must not leave once we have been told.
-            self.flush_queue()
+            # No set-up may be sent to an exchange that is known to drain, so the queued ones end now.
+            self.resubmit_queued_set_ups()
 
-    # The end
+    # Closing
 
     def close(self) -> None:
-        """The exchange is gone: its set-ups end, and nothing more is dialled."""
+        """Ends all set-ups, connections and dials at once, because the exchange is gone."""
         self.close_gracefully()
-        self.flush_queue()
+        self.resubmit_queued_set_ups()
         for connection in list(self.connections):
             connection.abort_as(ConnectionLoss.CLOSED_BY_US)
 
     def close_gracefully(self) -> None:
-        """The end of the program: what has been written still leaves."""
-        self.closed = True
-        if self.redial is not None:
-            self.redial.cancel()
+        """Stops dials and closes the connections once their output has been sent, as the program ends."""
+        self.is_closed = True
+        if self.redial_timer is not None:
+            self.redial_timer.cancel()
         if self.dial_task is not None:
             self.dial_task.cancel()
         for connection in list(self.connections):
@@ -371,8 +436,8 @@
 
     # Logs
 
-    def facts(self, connection: ExchangeConnection) -> dict[str, object]:
-        """What the log says of one connection."""
+    def log_fields(self, connection: ExchangeConnection) -> dict[str, object]:
+        """The log fields that describe one connection."""
         return {
             "exchange": self.exchange,
             "connection": connection.number,
@@ -382,28 +447,35 @@
         }
 
     def silent_ms(self) -> int:
-        """How long nothing has been heard from this exchange on any connection, in milliseconds."""
-        return (time.monotonic_ns() - self.heard_ns) // MS if self.heard_ns else -1
+        """Milliseconds since a message was last received on any connection; -1 if there was none yet."""
+        return (time.monotonic_ns() - self.last_received_at_ns) // MS if self.last_received_at_ns else -1
 
     def log_dial_failure(self, failure: DialFailure) -> None:
-        self.sparse_log.info(
+        """Logs a failed dial, at most once per interval."""
+        self.rate_limited_log.info(
             "dial to exchange failed",
             exchange=self.exchange,
             reason=failure.value,
-            waiting=len(self.queue),
+            waiting=len(self.queued_set_ups),
             silent_ms=self.silent_ms(),
         )
 
-    def log_silence(self, now_ns: int, mute: int) -> None:
-        """One entry when an exchange falls silent; `connection_heard` writes the one when it is back."""
-        silent_ns = now_ns - max(self.heard_ns, self.vouched_ns) if self.heard_ns else 0
-        if self.is_silent or silent_ns <= (SILENT_NS if mute else QUIET_NS + self.dial_ns):
+    def log_silence(self, now_ns: int, unresponsive_count: int) -> None:
+        """Logs once that an exchange has become silent; `message_received` logs when it no longer is."""
+        silent_ns = (
+            now_ns - max(self.last_received_at_ns, self.refusal_evidence_at_ns)
+            if self.last_received_at_ns
+            else 0
+        )
+        if self.is_silent or silent_ns <= (
+            SILENCE_WARNING_NS if unresponsive_count else MAX_IDLE_NS + self.dial_ns
+        ):
             return
         self.is_silent = True
         log.warning(
             "exchange silent",
             exchange=self.exchange,
-            mute=mute,
+            mute=unresponsive_count,
             connections=len(self.connections),
             silent_ms=self.silent_ms(),
         )
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -120,7 +120,7 @@
 @pytest.mark.parametrize("end", ["reset", "closed"])
 def test_a_process_that_is_lost_and_refuses_has_died(monkeypatch: pytest.MonkeyPatch, end: str) -> None:
     """The list may tell of its end ten seconds late, and its calls are to be released within eight."""
-    monkeypatch.setattr(exchange_pool, "DEAD_AFTER_NS", 0)
+    monkeypatch.setattr(exchange_pool, "PROCESS_DEAD_AFTER_NS", 0)
     far = Exchange()
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
@@ -196,7 +196,7 @@
         await swept(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
         await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
-        assert pool.dial_task is None and pool.redial is None
+        assert pool.dial_task is None and pool.redial_timer is None
 
     play(far.address, story)
 
