--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""What waits for a connection, and what becomes of a connection that dies: the pool alone, in its loop."""
+"""The pool of connections to one exchange: queued set-ups, lost connections and repeated releases."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 from tests.peers import CALL, OTHER, Exchange, Listener, Peer, config_of
 
 
-class RecordedEvents:
-    """Writes down what the pool tells."""
+class RecordingHandler:
+    """Records what the pool reports."""
 
     def __init__(self) -> None:
-        self.told: asyncio.Queue[tuple[Any, ...]] = asyncio.Queue()
-        self.left = self.failed_dials = 0
+        self.reported: asyncio.Queue[tuple[Any, ...]] = asyncio.Queue()
+        self.sent_set_ups = self.failed_dials = 0
         self.losses: list[ConnectionLoss] = []
 
     def set_up_sent(self) -> None:
-        self.left += 1
+        self.sent_set_ups += 1
 
     def attempt_ended(self, call: str, ending: it.Ending, *_: Any) -> None:
-        self.told.put_nowait(("ended", call, ending))
+        self.reported.put_nowait(("ended", call, ending))
 
     def call_established(
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
     ) -> None:
-        self.told.put_nowait(("stood", call))
+        self.reported.put_nowait(("established", call))
 
     def released_by_exchange(
         self, pool: ExchangePool, call: str, cause: int, report: it.Report | None
     ) -> None:
-        self.told.put_nowait(("released", call, cause))
+        self.reported.put_nowait(("released", call, cause))
 
     def group_state_reported(self, exchange: str, report: it.Report | None) -> None:
-        self.told.put_nowait(("state", report))
+        self.reported.put_nowait(("state", report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
-        self.told.put_nowait(("connected",))
+        self.reported.put_nowait(("connected",))
 
     def dial_failed(self) -> None:
         self.failed_dials += 1
@@ -57,152 +57,163 @@
         self.losses.append(loss)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
-        self.told.put_nowait(("expired", calls))
+        self.reported.put_nowait(("expired", calls))
 
     def exchange_process_died(self, pool: ExchangePool) -> None:
-        self.told.put_nowait(("died",))
+        self.reported.put_nowait(("died",))
 
 
-def order(call: str, abandon_at_ns: int = 1 << 62) -> SetUpRequest:
+def set_up_request(call: str, abandon_at_ns: int = 1 << 62) -> SetUpRequest:
     return SetUpRequest(call, "voice", "77", b"x", abandon_at_ns)
 
 
-def play(address: str, story: Callable[[ExchangePool, RecordedEvents], Any]) -> None:
+def run_with_pool(address: str, scenario: Callable[[ExchangePool, RecordingHandler], Any]) -> None:
     async def run() -> None:
         host, _, port = address.rpartition(":")
-        events = RecordedEvents()
-        pool = ExchangePool("x", Address(host, int(port)), events, config_of())
+        handler = RecordingHandler()
+        pool = ExchangePool("x", Address(host, int(port)), handler, config_of())
         try:
-            await asyncio.wait_for(story(pool, events), 20)
+            await asyncio.wait_for(scenario(pool, handler), 20)
         finally:
             pool.close()
 
     asyncio.run(run())
 
 
-async def accepted(far: Listener) -> Peer:
-    return Peer(await asyncio.to_thread(far.accept))
+async def accept_peer(listener: Listener) -> Peer:
+    return Peer(await asyncio.to_thread(listener.accept))
 
 
-@pytest.mark.parametrize("told", ["draining", "late"])
-def test_a_set_up_that_waits_for_a_connection_does_not_leave_once_it_must_not(told: str) -> None:
-    far = Listener()
+@pytest.mark.parametrize("reason", ["draining", "late"])
+def test_a_queued_set_up_that_must_not_be_sent_any_more_is_not_sent(reason: str) -> None:
+    listener = Listener()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
-        pool.set_up(order(CALL, 1 if told == "late" else 1 << 62))
-        assert events.told.empty(), "it waits"
-        if told == "draining":
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
+        pool.set_up(set_up_request(CALL, 1 if reason == "late" else 1 << 62))
+        assert handler.reported.empty(), "the set-up is queued"
+        if reason == "draining":
             pool.set_serving(False)
-            assert events.told.get_nowait() == ("ended", CALL, it.Ending.NOT_SENT)
-        peer = await accepted(far)
-        if told == "late":
-            assert await events.told.get() == ("ended", CALL, it.Ending.NOT_SENT)
-        assert await events.told.get() == ("connected",)
+            assert handler.reported.get_nowait() == ("ended", CALL, it.Ending.NOT_SENT)
+        peer = await accept_peer(listener)
+        if reason == "late":
+            assert await handler.reported.get() == ("ended", CALL, it.Ending.NOT_SENT)
+        assert await handler.reported.get() == ("connected",)
         pool.release(OTHER, 16)
         first = await asyncio.to_thread(peer.receive)
         assert first is not None and (first.kind, first.call) == (Kind.RELEASE, OTHER)
 
-    play(far.address, story)
+    run_with_pool(listener.address, scenario)
 
 
-def test_a_refused_connection_proves_that_nothing_ran() -> None:
+def test_a_refused_dial_shows_that_the_set_up_was_not_sent() -> None:
     free = socket.create_server(("127.0.0.1", 0))
     address = f"127.0.0.1:{free.getsockname()[1]}"
     free.close()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
-        pool.set_up(order(CALL))
-        assert await events.told.get() == ("ended", CALL, it.Ending.NO_CONNECTION)
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
+        pool.set_up(set_up_request(CALL))
+        assert await handler.reported.get() == ("ended", CALL, it.Ending.NO_CONNECTION)
 
-    play(address, story)
+    run_with_pool(address, scenario)
 
 
 @pytest.mark.parametrize("end", ["reset", "closed"])
-def test_a_process_that_is_lost_and_refuses_has_died(monkeypatch: pytest.MonkeyPatch, end: str) -> None:
-    """The list may tell of its end ten seconds late, and its calls are to be released within eight."""
+def test_a_process_whose_connections_are_lost_and_that_refuses_dials_is_dead(
+    monkeypatch: pytest.MonkeyPatch, end: str
+) -> None:
+    """The list may report its end ten seconds late, and its calls must be released within eight."""
     monkeypatch.setattr(exchange_pool, "PROCESS_DEAD_AFTER_NS", 0)
-    far = Exchange()
+    exchange = Exchange()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
-        far.listener.socket.shutdown(socket.SHUT_RDWR)
-        far.listener.socket.close()
-        far.drop(*lines, reset=end == "reset")
-        while await events.told.get() != ("died",):
+        connections = [
+            await asyncio.to_thread(exchange.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)
+        ]
+        exchange.listener.socket.shutdown(socket.SHUT_RDWR)
+        exchange.listener.socket.close()
+        exchange.drop(*connections, reset=end == "reset")
+        while await handler.reported.get() != ("died",):
             pass
 
-    play(far.address, story)
+    run_with_pool(exchange.address, scenario)
 
 
-def test_a_state_that_each_connection_brings_is_told_once() -> None:
-    """The second copy would undo what the module has counted off for the set-ups it has sent since."""
-    far = Exchange()
+def test_a_group_state_received_on_each_connection_is_reported_once() -> None:
+    """A second copy would undo the circuits that the policy has subtracted for set-ups sent since."""
+    exchange = Exchange()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)]
-        for line in lines:
-            line.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
-            line.release(OTHER, 16)
-        told: list[tuple[Any, ...]] = []
-        while told.count(("released", OTHER, 16)) < len(lines):
-            told.append(await events.told.get())
-        assert [fact[1] for fact in told if fact[0] == "state"] == [it.Report(40, 60), it.Report(7, 60)]
-
-    play(far.address, story)
-
-
-async def swept(pool: ExchangePool, until: Callable[[], bool]) -> None:
-    while not until():
+        connections = [
+            await asyncio.to_thread(exchange.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)
+        ]
+        for connection in connections:
+            connection.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
+            connection.release(OTHER, 16)
+        reports: list[tuple[Any, ...]] = []
+        while reports.count(("released", OTHER, 16)) < len(connections):
+            reports.append(await handler.reported.get())
+        assert [report[1] for report in reports if report[0] == "state"] == [
+            it.Report(40, 60),
+            it.Report(7, 60),
+        ]
+
+    run_with_pool(exchange.address, scenario)
+
+
+async def sweep_until(pool: ExchangePool, condition: Callable[[], bool]) -> None:
+    while not condition():
         pool.sweep(time.monotonic_ns())
         await asyncio.sleep(0.01)
 
 
-def test_a_release_that_a_mute_connection_ate_does_not_end_the_next_attempt() -> None:
-    """The call had been given up there and stood on another: the release sent again cut it untold."""
-    far, third = Exchange(), "00000000000000c3"
+def test_a_release_lost_on_an_unresponsive_connection_does_not_end_the_next_attempt() -> None:
+    """Releases that may be lost are sent again when their connection closes. The call of a cancelled attempt
+    may have been set up on another connection by then: the repeated release must not interrupt it.
+    """
+    exchange, third = Exchange(), "00000000000000c3"
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
+        await sweep_until(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         first, second = pool.connections
         for call in (CALL, OTHER, third):
-            pool.set_up(order(call))
+            pool.set_up(set_up_request(call))
         assert first.open_set_ups == {CALL, third}
         pool.cancel_set_up(CALL)
         second.open_set_ups.clear()
-        pool.set_up(order(CALL))
+        pool.set_up(set_up_request(CALL))
         assert second.open_set_ups == {CALL}
-        first.awaiting_since_ns = 1  # mute since long ago
-        await swept(pool, lambda: first not in pool.connections)
+        first.awaiting_since_ns = 1  # unresponsive for a long time
+        await sweep_until(pool, lambda: first not in pool.connections)
         pool.release("f" * 16, 16)
-        came: list[tuple[int, str]] = []
-        while not came or came[-1] != (Kind.RELEASE, "f" * 16):
-            _, message = await asyncio.to_thread(far.came.get, timeout=20)
-            came.append((message.kind, message.call))
-        assert came.count((Kind.RELEASE, CALL)) == 1 and (Kind.RELEASE, third) in came
+        received: list[tuple[int, str]] = []
+        while not received or received[-1] != (Kind.RELEASE, "f" * 16):
+            _, message = await asyncio.to_thread(exchange.came.get, timeout=20)
+            received.append((message.kind, message.call))
+        assert received.count((Kind.RELEASE, CALL)) == 1 and (Kind.RELEASE, third) in received
 
-    play(far.address, story)
+    run_with_pool(exchange.address, scenario)
 
 
-def test_a_connection_more_than_are_kept_is_closed_and_not_dialled_again() -> None:
-    far = Exchange()
+def test_a_surplus_connection_is_closed_and_not_replaced() -> None:
+    exchange = Exchange()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
+        await sweep_until(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         pool.dial()
-        await swept(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
+        await sweep_until(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
-        await swept(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
+        await sweep_until(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
         assert pool.dial_task is None and pool.redial_timer is None
 
-    play(far.address, story)
+    run_with_pool(exchange.address, scenario)
 
 
 @pytest.mark.parametrize(
-    ("cause", "note", "wanted"),
+    ("cause", "note", "expected"),
     [
         (34, "tandem_refused", (it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK)),
         (34, "destination_full", (it.Ending.TURNED_AWAY, it.Cause.BEYOND_FULL)),
@@ -213,60 +224,62 @@
         (41, "", (it.Ending.CUT, it.Cause.UNSAID)),
     ],
 )
-def test_each_refusal_means_what_the_adapter_would_tell(
-    cause: int, note: str, wanted: tuple[it.Ending, it.Cause]
+def test_each_rejection_has_the_meaning_that_the_simulator_adapter_gives_it(
+    cause: int, note: str, expected: tuple[it.Ending, it.Cause]
 ) -> None:
-    far, ended = Listener(), []
+    listener, ended = Listener(), []
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
-        events.attempt_ended = lambda *told: (ended.append(told), events.told.put_nowait(("end",)))  # type: ignore
-        pool.set_up(order(CALL))
-        peer = await accepted(far)
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
+        handler.attempt_ended = lambda *args: (ended.append(args), handler.reported.put_nowait(("end",)))  # type: ignore
+        pool.set_up(set_up_request(CALL))
+        peer = await accept_peer(listener)
         await asyncio.to_thread(peer.expect, Kind.SET_UP)
         peer.send(
             Kind.RELEASE,
             CALL,
             {Code.CAUSE: bytes((cause,)), Code.NOTE: note, Code.REPORT: "idle:3;circuits:9"},
         )
-        while await events.told.get() != ("end",):
+        while await handler.reported.get() != ("end",):
             pass
 
-    play(far.address, story)
-    assert ended == [(CALL, wanted[0], wanted[1], 0, it.Report(3, 9))]
+    run_with_pool(listener.address, scenario)
+    assert ended == [(CALL, expected[0], expected[1], 0, it.Report(3, 9))]
 
 
-def test_the_normal_end_of_an_earlier_attempt_does_not_end_the_one_that_is_out() -> None:
-    """Its answer was lost, and exchanges tell ends again on the next connection: the call went out twice."""
-    far = Listener()
+def test_the_normal_end_of_an_earlier_attempt_does_not_end_the_current_one() -> None:
+    """The answer of an earlier attempt may be lost with its connection, and exchanges report its end again on
+    the next one. Taken for the end of the current attempt, it would cause a second set-up of the call.
+    """
+    listener = Listener()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
-        pool.set_up(order(CALL))
-        peer = await accepted(far)
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
+        pool.set_up(set_up_request(CALL))
+        peer = await accept_peer(listener)
         await asyncio.to_thread(peer.expect, Kind.SET_UP)
         peer.release(CALL, 16)
         peer.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
-        told = [await events.told.get()]
-        while told[-1][0] not in ("ended", "stood"):
-            told.append(await events.told.get())
-        assert told[-1] == ("stood", CALL)
+        reports = [await handler.reported.get()]
+        while reports[-1][0] not in ("ended", "established"):
+            reports.append(await handler.reported.get())
+        assert reports[-1] == ("established", CALL)
 
-    play(far.address, story)
+    run_with_pool(listener.address, scenario)
 
 
-def test_a_peer_that_stops_reading_is_closed_before_it_fills_the_memory() -> None:
-    far = Listener()
+def test_a_peer_that_stops_reading_is_disconnected_before_it_fills_the_memory() -> None:
+    listener = Listener()
 
-    async def story(pool: ExchangePool, events: RecordedEvents) -> None:
+    async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
-        peer = await accepted(far)
-        assert await events.told.get() == ("connected",)
-        line = pool.connections[0]
-        assert line.transport is not None
-        most = sent = 0
-        while line.write(bytes(16384)):
-            most, sent = max(most, line.transport.get_write_buffer_size()), sent + 1
-            assert sent < 10_000, "nothing bounds what is held for it"
-        assert most <= pool.bounds.unsent and not line.is_open
+        peer = await accept_peer(listener)
+        assert await handler.reported.get() == ("connected",)
+        connection = pool.connections[0]
+        assert connection.transport is not None
+        max_buffered = sent = 0
+        while connection.write(bytes(16384)):
+            max_buffered, sent = max(max_buffered, connection.transport.get_write_buffer_size()), sent + 1
+            assert sent < 10_000, "the output buffered for the peer is not bounded"
+        assert max_buffered <= pool.bounds.unsent and not connection.is_open
         peer.socket.close()
 
-    play(far.address, story)
+    run_with_pool(listener.address, scenario)
