--- a/tests/test_vanished_exchange.py
+++ b/tests/test_vanished_exchange.py
@@ -1,4 +1,8 @@
-"""Incident 8: calls that stand on an exchange which vanishes are released in time, whoever is silent."""
+"""End-to-end tests of standing calls on an exchange whose machine vanishes (incident 8).
+
+Its connections stay open and nothing reports the end of its calls, yet these must be released within the
+protocol's limit, and only if their process is really gone.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 @pytest.fixture
-def between(tmp_path: Path) -> Iterator[tuple[Program, Network]]:
+def program_behind_proxy(tmp_path: Path) -> Iterator[tuple[Program, Network]]:
     """The program, with a fault proxy between it and its exchange."""
     program = Program(tmp_path)
     with threaded(program.exchange.address) as network:
@@ -27,47 +31,47 @@
             yield program, network
 
 
-@pytest.mark.parametrize("discovery", ["follows", "down"])
+@pytest.mark.parametrize("change_log", ["up", "down"])
 def test_calls_on_a_vanished_exchange_are_released_in_time(
-    between: tuple[Program, Network], discovery: str
+    program_behind_proxy: tuple[Program, Network], change_log: str
 ) -> None:
-    program, (proxy, run) = between
-    caller = two_standing(program)
-    if discovery == "down":
+    program, (proxy, run) = program_behind_proxy
+    caller = establish_two_calls(program)
+    if change_log == "down":
         program.changelog.socket.close()
         program.news.socket.close()
-    with program.heartbeat() if discovery == "follows" else nullcontext():
+    with program.heartbeat() if change_log == "up" else nullcontext():
         run(proxy.cut)
-        expect_both_released(caller, since=time.monotonic())
+        expect_both_released(caller, since_s=time.monotonic())
 
 
 def test_calls_of_a_machine_that_returns_as_a_new_process_are_released_in_time(
-    between: tuple[Program, Network],
+    program_behind_proxy: tuple[Program, Network],
 ) -> None:
-    """Its connections come up again and tell of an idle group; nobody tells of the calls that it has cut."""
-    program, (proxy, run) = between
-    caller = two_standing(program)
+    """Its new connections report an idle group, but nothing reports the end of the calls that it has lost."""
+    program, (proxy, run) = program_behind_proxy
+    caller = establish_two_calls(program)
     run(proxy.cut)
-    vanished = time.monotonic()
+    vanished_at_s = time.monotonic()
     program.exchange.state = {Code.REPORT: "idle:60;circuits:60;max_rate:-1"}
     program.exchange.drop(*program.exchange.lines, reset=True)
     time.sleep(4.0)
     run(proxy.heal)
-    expect_both_released(caller, since=vanished)
+    expect_both_released(caller, since_s=vanished_at_s)
 
 
-@pytest.mark.parametrize("trouble", ["cut for six seconds", "all connections reset", "quiet for long"])
+@pytest.mark.parametrize("disturbance", ["cut for six seconds", "all connections reset", "idle for long"])
 def test_calls_of_a_process_that_lives_on_are_not_released(
-    between: tuple[Program, Network], trouble: str
+    program_behind_proxy: tuple[Program, Network], disturbance: str
 ) -> None:
-    program, (proxy, run) = between
-    caller = two_standing(program)
-    if trouble == "cut for six seconds":
+    program, (proxy, run) = program_behind_proxy
+    caller = establish_two_calls(program)
+    if disturbance == "cut for six seconds":
         run(proxy.cut)
         time.sleep(6.0)
-        program.exchange.tell(*program.exchange.lines)  # as the circuits of the group change
+        program.exchange.tell(*program.exchange.lines)  # as it does when the free circuits change
         run(proxy.heal)
-    elif trouble == "all connections reset":
+    elif disturbance == "all connections reset":
         run(proxy.reset_all)
     time.sleep(RELEASE_LIMIT_S + 1.0)
     for call in (CALL, OTHER):
@@ -75,7 +79,7 @@
         assert caller.expect(Kind.RELEASE, call).cause() == ReleaseCause.NORMAL
 
 
-def two_standing(program: Program) -> Peer:
+def establish_two_calls(program: Program) -> Peer:
     caller = program.caller()
     caller.socket.settimeout(RELEASE_LIMIT_S + 1.0)
     program.standing(caller)
@@ -83,9 +87,9 @@
     return caller
 
 
-def expect_both_released(caller: Peer, since: float) -> None:
+def expect_both_released(caller: Peer, since_s: float) -> None:
     released = [caller.receive() for _ in range(2)]
-    took_s = time.monotonic() - since
+    took_s = time.monotonic() - since_s
     assert {(message.kind, message.call) for message in released if message is not None} == {
         (Kind.RELEASE, CALL),
         (Kind.RELEASE, OTHER),
