--- a/arrowkeel/liveness.py
+++ b/arrowkeel/liveness.py
@@ -45,6 +45,7 @@
 
     @property
     def busy_circuits(self) -> int:
+        """The circuits of the group that carry calls."""
         return self.group_size - self.free_circuits
 
 
@@ -70,6 +71,7 @@
 
     @property
     def held_circuits(self) -> int:
+        """The number of circuits that the standing calls of this process use."""
         return sum(self.calls.values())
 
     def expires_at_ns(self) -> int:
@@ -83,7 +85,11 @@
 
 
 class ExchangeLiveness:
-    """The leases of the processes at one exchange's address that have open connections or standing calls."""
+    """The leases of the processes at one exchange's address.
+
+    A lease is kept as long as its process has open connections or standing calls. `connection` arguments are
+    the numbers of connections, `now_ns` is the current time.
+    """
 
     def __init__(self, is_mesh: bool) -> None:
         # Only in a mesh does the state of a circuit group reflect this controller's calls alone.
@@ -95,6 +101,7 @@
         return next((lease for lease in self.leases if connection in lease.connections), None)
 
     def has_standing_calls(self) -> bool:
+        """Whether any process holds a call."""
         return any(lease.calls for lease in self.leases)
 
     def add_connection(self, connection: int, now_ns: int) -> None:
@@ -222,7 +229,7 @@
     def must_keep_open(self, connection: int) -> bool:
         """Whether closing the connection would lose evidence about a process that holds calls.
 
-        That is so if it is the only connection to that process, or if unconfirmed evidence came on it.
+        That is so if it is the only connection to that process, or if it brought unconfirmed evidence.
         """
         lease = self.find_lease(connection)
         if lease is None or not lease.calls:
@@ -254,4 +261,5 @@
         self.leases.remove(other)
 
     def remove_empty_leases(self) -> None:
+        """Removes the leases that have neither connections nor calls any more."""
         self.leases = [lease for lease in self.leases if lease.connections or lease.calls]
--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -35,14 +35,15 @@
 
     def __init__(self) -> None:
         self.log = structlog.get_logger()
-        self.last_entries: dict[
-            str, tuple[int, int]
-        ] = {}  # event -> (when last written, entries left out since)
+        # By event: when it was last written, and the number of entries left out since.
+        self.last_entries: dict[str, tuple[int, int]] = {}
 
     def info(self, event: str, **fields: Any) -> None:
+        """Writes an entry of level info, if its event is due."""
         self.write(self.log.info, event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
+        """Writes an entry of level warning, if its event is due."""
         self.write(self.log.warning, event, fields)
 
     def write(self, write_entry: Callable[..., Any], event: str, fields: dict[str, Any]) -> None:
@@ -88,6 +89,7 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether the connection is established and not being closed."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
@@ -100,6 +102,7 @@
         return count > 0
 
     def data_received(self, data: bytes) -> None:
+        """Decodes the bytes, handles each complete message and notes whether an incomplete one is left."""
         try:
             for message in self.decoder.feed(data):
                 if not self.is_open:
@@ -143,6 +146,7 @@
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
+        """Reads again once the peer has read enough."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -96,6 +96,7 @@
         self.events.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Reports why the connection ended."""
         loss = self.loss or (ConnectionLoss.CLOSED_BY_PEER if exc is None else ConnectionLoss.RESET)
         self.events.connection_lost(self, loss)
 
@@ -143,6 +144,7 @@
         return True
 
     def handle_message(self, message: Message) -> None:
+        """Passes a message on to the owner; raises `MalformedMessageError` if its contents can't be used."""
         if message.flaw:
             raise MalformedMessageError(message.flaw)
         self.record_received()
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -112,6 +112,7 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether any connection is open."""
         return any(connection.is_open for connection in self.connections)
 
     def usable_connections(self) -> list[ExchangeConnection]:
@@ -216,6 +217,7 @@
     # Events of connections
 
     def connection_opened(self, connection: ExchangeConnection) -> None:
+        """Starts a lease for the process behind a new connection."""
         self.liveness.add_connection(connection.number, time.monotonic_ns())
 
     def connection_lost(self, connection: ExchangeConnection, loss: ConnectionLoss) -> None:
@@ -259,6 +261,7 @@
             self.schedule_redial()
 
     def message_received(self, connection: ExchangeConnection) -> None:
+        """Takes a received message as evidence that the process is alive and the exchange not silent."""
         self.liveness.record_evidence(connection.number, connection.last_received_at_ns)
         if self.is_silent:
             self.is_silent = False
@@ -266,6 +269,7 @@
         self.last_received_at_ns = connection.last_received_at_ns
 
     def call_answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None:
+        """Passes an answer on to the controller."""
         self.handler.call_established(self, connection, call, description)
 
     def record_standing_call(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
@@ -275,11 +279,13 @@
     def attempt_ended(
         self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
     ) -> None:
+        """Passes the end of an attempt on to the controller."""
         self.handler.attempt_ended(call, ending, cause, wait_ns, report)
 
     def call_released(
         self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
     ) -> None:
+        """Passes a release on to the controller; a normal one also shows which process held the call."""
         if cause == ReleaseCause.NORMAL:
             self.liveness.record_normal_end(connection.number, call)
         self.handler.released_by_exchange(self, call, cause, report)
