--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 
-class Reporting(Enum):
+class LoadReporting(Enum):
     """How figures of a far processor reach this agent."""
 
     NONE = "none"
@@ -18,7 +18,7 @@
     ON_PROBE = "on probe"
 
 
-class Listing(Enum):
+class ExchangeStatus(Enum):
     SERVING = "serving"
     DRAINING = "draining"
     GONE = "gone"
@@ -36,21 +36,21 @@
 
     COMPLETED = "completed"
     NUMBER_BUSY = "number busy"
-    TURNED_AWAY = "turned away"
+    REJECTED = "turned away"
     NO_ANSWER = "no answer"
     NO_CONNECTION = "no connection"
-    CUT = "cut"
-    CALLED_OFF = "called off"
+    INTERRUPTED = "cut"
+    CANCELLED = "called off"
     NOT_SENT = "not sent"
 
 
-class Cause(Enum):
+class FailureCause(Enum):
     """Why a set-up was turned away, as far as the far side says."""
 
-    UNSAID = "unsaid"
+    UNSPECIFIED = "unsaid"
     NO_CIRCUIT = "no circuit"
-    TURNED_BACK = "turned back by the tandem"
-    BEYOND_FULL = "processor beyond the tandem full"
+    RETURNED_BY_TANDEM = "turned back by the tandem"
+    PROCESSOR_BEYOND_TANDEM_FULL = "processor beyond the tandem full"
     PROCESSOR_FULL = "processor full"
     LINES_BUSY = "all lines of the number busy"
 
@@ -58,13 +58,13 @@
 class RefusalReason(Enum):
     """Why a call was refused; for logs and metrics, it changes nothing that is sent."""
 
-    UNSAID = "unsaid"
+    UNSPECIFIED = "unsaid"
     NUMBER_GAPPED = "number gapped"
     NO_ROUTE = "no route"
     ATTEMPTS_USED = "attempts used"
-    OWN_PROCESSOR = "own processor pressed"
-    FAR_PROCESSOR = "far processor pressed"
-    FAR_SILENT = "far end silent"
+    LOCAL_OVERLOAD = "own processor pressed"
+    REMOTE_OVERLOAD = "far processor pressed"
+    REMOTE_SILENT = "far end silent"
     NO_CIRCUIT = "no circuit"
     TOO_LATE = "too late"
     UNKNOWN_CLASS = "unknown class"
@@ -75,12 +75,12 @@
 @dataclass(frozen=True, slots=True)
 class CallClass:
     name: str
-    aim_ns: int
-    give_up_ns: int
+    target_ns: int
+    deadline_ns: int
     worth: float = 1.0
     late_worth: float = 0.0
-    hold_ns: int = 10_000_000_000
-    pools: tuple[int, ...] = ()
+    holding_time_ns: int = 10_000_000_000
+    exchange_numbers: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,17 +89,17 @@
 
     classes: tuple[CallClass, ...]
     own_number: int = -1
-    agents: int = 1
-    agent_index: int = 0
+    controllers: int = 1
+    controller_index: int = 0
     is_mesh: bool = True
-    reporting: Reporting = Reporting.NONE
+    reporting: LoadReporting = LoadReporting.NONE
     may_probe: bool = False
     may_cancel: bool = False
     may_advise_redial: bool = False
-    longest_advice_ns: int = 0
+    max_redial_after_ns: int = 0
     attempt_limit: int = 1
-    release_ns: int = 0
-    repeat_set_up_ns: int = 0
+    release_guard_ns: int = 0
+    set_up_retransmit_ns: int = 0
     list_on_request: bool = False
     list_age_limit_ns: int = 10_000_000_000
     cold_share: float = 0.3
@@ -111,14 +111,14 @@
         if not self.classes:
             raise ValueError("classes: at least one class of call is needed")
         for entry in self.classes:
-            if entry.aim_ns <= 0 or entry.give_up_ns <= 0:
-                raise ValueError(f"classes: aim_ns and give_up_ns of {entry.name!r} must be above 0")
+            if entry.target_ns <= 0 or entry.deadline_ns <= 0:
+                raise ValueError(f"classes: target_ns and deadline_ns of {entry.name!r} must be above 0")
             if not entry.worth >= 0 or not 0 <= entry.late_worth <= 1:
                 raise ValueError(f"classes: worth or late_worth of {entry.name!r} is out of range")
-        for name in ("agents", "attempt_limit", "cold_window_ns"):
+        for name in ("controllers", "attempt_limit", "cold_window_ns"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
-        for name in ("longest_advice_ns", "release_ns", "repeat_set_up_ns", "warm_after_ns"):
+        for name in ("max_redial_after_ns", "release_guard_ns", "set_up_retransmit_ns", "warm_after_ns"):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
         if not 0 < self.cold_share <= 1:
@@ -127,22 +127,22 @@
             raise ValueError("cold_multiple: must be above 0")
 
     @property
-    def shortest_aim_ns(self) -> int:
-        return min(kind.aim_ns for kind in self.classes)
+    def shortest_target_ns(self) -> int:
+        return min(kind.target_ns for kind in self.classes)
 
     @property
-    def longest_aim_ns(self) -> int:
-        return max(kind.aim_ns for kind in self.classes)
+    def longest_target_ns(self) -> int:
+        return max(kind.target_ns for kind in self.classes)
 
     @property
-    def longest_give_up_ns(self) -> int:
-        return max(kind.give_up_ns for kind in self.classes)
+    def longest_deadline_ns(self) -> int:
+        return max(kind.deadline_ns for kind in self.classes)
 
     @property
-    def most_worth(self) -> float:
+    def highest_worth(self) -> float:
         return max(kind.worth for kind in self.classes) or 1.0
 
-    def class_named(self, name: str) -> CallClass:
+    def find_class(self, name: str) -> CallClass:
         """The class of that name; a name never met before is served as the first one."""
         return next((kind for kind in self.classes if kind.name == name), self.classes[0])
 
@@ -151,25 +151,25 @@
 class ListedExchange:
     exchange: str
     number: int
-    listing: Listing = Listing.SERVING
+    status: ExchangeStatus = ExchangeStatus.SERVING
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     rating: float = 1.0
     started_ns: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """Figures towards one exchange; None where absent. The circuits are prompt, the rest late."""
 
     free_circuits: int | None = None
     group_size: int | None = None
-    in_work: float | None = None
-    queued: float | None = None
-    busy_share: float | None = None
+    set_ups_in_progress: float | None = None
+    queued_messages: float | None = None
+    utilization: float | None = None
     wait_ns: float | None = None
-    accepted_per_s: float | None = None
-    hold_back_share: float | None = None
+    max_set_ups_per_s: float | None = None
+    reduction_share: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,18 +180,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call to decide on. `from_or_advised`: the sender of a transit call, else an advised tandem, or -1."""
+    """A call to decide on.
+
+    `sender_or_advised_tandem`: the sender of a transit call, else an advised tandem, or -1.
+    """
 
     call: str
     class_name: str
     destination: int
     patience_ns: int
     number_called: str = ""
-    width: int = 1
-    from_or_advised: int = -1
+    circuits: int = 1
+    sender_or_advised_tandem: int = -1
     redial: bool = False
     transit: bool = False
-    was_cut: bool = False
+    was_interrupted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -210,9 +213,9 @@
     ending: Ending
     delay_ns: int = 0
     call_over: bool = False
-    cause: Cause = Cause.UNSAID
-    told_wait_ns: int = 0
-    report: Report | None = None
+    cause: FailureCause = FailureCause.UNSPECIFIED
+    reported_wait_ns: int = 0
+    report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -227,11 +230,11 @@
     exchange: str
     ending: Ending
     delay_ns: int = 0
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class TimerRang:
+class TimerExpired:
     label: int
 
 
@@ -248,7 +251,7 @@
     | AttemptEnded
     | CallerLeft
     | ProbeAnswer
-    | TimerRang
+    | TimerExpired
     | PeerMessage
 )
 
@@ -268,7 +271,7 @@
 
     call: str
     redial_after_ns: int = 0
-    reason: RefusalReason = field(default=RefusalReason.UNSAID, compare=False)
+    reason: RefusalReason = field(default=RefusalReason.UNSPECIFIED, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -25,7 +25,7 @@
         self.departure: DrainPlan | None = None  # while connections are to go
 
     def connected(self, connection: CallerConnection) -> None:
-        if len(self.connections) >= self.bounds.caller_connections and not self.shed():
+        if len(self.connections) >= self.bounds.max_caller_connections and not self.shed():
             log.warning("no idle connection from callers, the newest closed", open=len(self.connections))
             connection.abort()
             return
@@ -62,17 +62,17 @@
         credit_ns = HALF_CREDIT_NS if connection.incomplete_since_ns else 0
         return connection.taken > 0, connection.heard_at_ns + credit_ns
 
-    def leave(self, departure: DrainPlan) -> None:
+    def start_departure(self, departure: DrainPlan) -> None:
         """Each connection goes once nothing is lost with it, until they may stay again."""
         self.departure = departure
 
-    def stay(self) -> None:
+    def cancel_departure(self) -> None:
         self.departure = None
 
     def refuses(self, now_ns: int) -> bool:
         return self.departure is not None and self.departure.refuses_set_ups(now_ns)
 
-    def must_answer_all(self, now_ns: int) -> bool:
+    def must_end_open_calls(self, now_ns: int) -> bool:
         return self.departure is not None and self.departure.must_answer_open_calls(now_ns)
 
     def use_of(self, connection: CallerConnection) -> ConnectionUse:
@@ -110,7 +110,7 @@
         for other in sorted(others, key=lambda each: each.heard_at_ns, reverse=True):
             if other.release_standing(call, cause):
                 return
-        if len(self.waiting_releases) < self.bounds.records:
+        if len(self.waiting_releases) < self.bounds.max_table_entries:
             self.waiting_releases[call] = cause
 
     async def close(self, until_ns: int) -> None:
--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -16,9 +16,9 @@
 SHARED_CONNECTIONS_SHARE = 0.36  # where a successor and its forerunner run at once, within one set of limits
 PROGRAM_BYTES = 18 << 20  # what the program itself takes
 LIFECYCLES = {
-    "up": it.Listing.SERVING,
-    "draining": it.Listing.DRAINING,
-    "removed": it.Listing.GONE,
+    "up": it.ExchangeStatus.SERVING,
+    "draining": it.ExchangeStatus.DRAINING,
+    "removed": it.ExchangeStatus.GONE,
 }
 
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ExchangeEntry:
     """An exchange as the list names it: what the module is told, and where it listens."""
 
     listed: it.ListedExchange
@@ -52,39 +52,39 @@
     """One numbered event of the list; without entries it tells only the last number."""
 
     seq: int
-    complete: bool = False
-    entries: tuple[Entry, ...] | None = None
+    is_complete: bool = False
+    entries: tuple[ExchangeEntry, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Clock:
+class ClockOffset:
     """The one place where the list's Unix milliseconds become the module's monotonic nanoseconds.
 
     The distance is taken once, so that an entry told twice has the same start both times.
     """
 
-    unix_ahead_ns: int
+    unix_minus_monotonic_ns: int
 
     @classmethod
-    def now(cls) -> Clock:
+    def measure(cls) -> ClockOffset:
         return cls(time.time_ns() - time.monotonic_ns())
 
-    def monotonic_ns(self, unix_ms: int) -> int:
-        return max(0, unix_ms * MS - self.unix_ahead_ns) if unix_ms > 0 else 0
+    def to_monotonic_ns(self, unix_ms: int) -> int:
+        return max(0, unix_ms * MS - self.unix_minus_monotonic_ns) if unix_ms > 0 else 0
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
     """What tables and buffers may hold, as parts of the memory and descriptors that the limits state."""
 
-    caller_connections: int  # connections from callers, who hold at most a third of the descriptors
-    operator_connections: int  # connections from operators
-    backlog: int  # connections that the machine may have accepted and we have not yet seen
-    open_calls: int
-    descriptions: int  # bytes, of all calls that may still be sent
-    records: int  # small entries of a table: ended calls, kept releases
-    unsent: int  # bytes that one peer may leave unread
-    change_log_line: int  # bytes of one line of the change log
+    max_caller_connections: int  # connections from callers, who hold at most a third of the descriptors
+    max_operator_connections: int  # connections from operators
+    accept_backlog: int  # connections that the machine may have accepted and we have not yet seen
+    max_calls: int
+    max_description_bytes: int  # bytes, of all calls that may still be sent
+    max_table_entries: int  # small entries of a table: ended calls, kept releases
+    max_unsent_bytes: int  # bytes that one peer may leave unread
+    max_change_log_line_bytes: int  # bytes of one line of the change log
 
     @classmethod
     def within(cls, memory: int, descriptors: int, most_open: int, shared: bool = False) -> Bounds:
@@ -92,14 +92,15 @@
         spare = max(PROGRAM_BYTES // 4, memory - PROGRAM_BYTES)
         caller_connections = int(descriptors * (SHARED_CONNECTIONS_SHARE if shared else CONNECTIONS_SHARE))
         return cls(
-            caller_connections=caller_connections,
-            operator_connections=max(4, descriptors // 12),
-            backlog=2 * descriptors,  # a crowd must not make usual callers wait a second for the next try
-            open_calls=min(most_open, spare // 4096),
-            descriptions=spare // 4,
-            records=spare // 16384,
-            unsent=max(32 << 10, spare // (2 * caller_connections)),
-            change_log_line=spare // 8,
+            max_caller_connections=caller_connections,
+            max_operator_connections=max(4, descriptors // 12),
+            # a crowd must not make usual callers wait a second for the next try
+            accept_backlog=2 * descriptors,
+            max_calls=min(most_open, spare // 4096),
+            max_description_bytes=spare // 4,
+            max_table_entries=spare // 16384,
+            max_unsent_bytes=max(32 << 10, spare // (2 * caller_connections)),
+            max_change_log_line_bytes=spare // 8,
         )
 
 
@@ -112,12 +113,12 @@
     seed: int
     bounds: Bounds
     changelog: Address
-    known: tuple[ListUpdate, ...]
+    initial_updates: tuple[ListUpdate, ...]
     last_seq: int
     settings: it.Settings
     report_names: tuple[str, ...]
-    dial_ns: int
-    clock: Clock
+    dial_timeout_ns: int
+    clock_offset: ClockOffset
 
 
 def read_address(value: object, where: str, least_port: int = 1) -> Address:
@@ -135,7 +136,7 @@
     return value
 
 
-def read_entry(raw: Any, clock: Clock) -> Entry:
+def read_entry(raw: Any, clock_offset: ClockOffset) -> ExchangeEntry:
     try:
         identity, lifecycle = raw["instanceId"], raw["lifecycle"]
         if not isinstance(identity, str) or not identity or lifecycle not in LIFECYCLES:
@@ -143,21 +144,21 @@
         listed = it.ListedExchange(
             exchange=identity,
             number=int(raw["cell"]),
-            listing=LIFECYCLES[lifecycle],
+            status=LIFECYCLES[lifecycle],
             zone=str(raw.get("zone", "")),
-            kind=str(raw.get("machineType", "")),
+            machine_type=str(raw.get("machineType", "")),
             rating=float(raw.get("weight", 1.0)),
-            started_ns=clock.monotonic_ns(int(raw.get("startedAtMs") or 0)),
+            started_ns=clock_offset.to_monotonic_ns(int(raw.get("startedAtMs") or 0)),
         )
-        gone = listed.listing is it.Listing.GONE
-        return Entry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
+        gone = listed.status is it.ExchangeStatus.GONE
+        return ExchangeEntry(listed, None if gone else read_address(raw["hostPort"], "hostPort"))
     except KeyError as error:
         raise MalformedListUpdateError(f"{error.args[0]}: missing") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         raise MalformedListUpdateError(str(error)) from None
 
 
-def read_list_update(raw: Any, clock: Clock) -> ListUpdate:
+def read_list_update(raw: Any, clock_offset: ClockOffset) -> ListUpdate:
     """One event; raises MalformedListUpdateError on what cannot be read. Others are only counted."""
     seq = raw.get("seq") if isinstance(raw, dict) else None
     if not isinstance(seq, int) or isinstance(seq, bool) or seq < 0:
@@ -169,11 +170,11 @@
     if not isinstance(instances, list):
         raise MalformedListUpdateError("fleet.instances: not a list")
     return ListUpdate(
-        seq, bool(fleet.get("reset", False)), tuple(read_entry(entry, clock) for entry in instances)
+        seq, bool(fleet.get("reset", False)), tuple(read_entry(entry, clock_offset) for entry in instances)
     )
 
 
-def read_config(text: str, clock: Clock, environment: Mapping[str, str] | None = None) -> Config:
+def read_config(text: str, clock_offset: ClockOffset, environment: Mapping[str, str] | None = None) -> Config:
     environment = environment or {}
     try:
         raw = json.loads(text)
@@ -195,7 +196,7 @@
         raise ConfigError(f"limits.memory_mb: the program alone takes {PROGRAM_BYTES >> 20}")
     try:
         updates = tuple(
-            read_list_update(entry, clock) for entry in field_of(known, "results", list, "known.")
+            read_list_update(entry, clock_offset) for entry in field_of(known, "results", list, "known.")
         )
     except MalformedListUpdateError as error:
         raise ConfigError(f"known.results: {error}") from None
@@ -218,10 +219,10 @@
             memory, descriptors, field_of(allowed, "maxOpen", int, "settings.permissions."), bool(held)
         ),
         changelog=read_address(raw.get("changelog"), "changelog"),
-        known=updates,
+        initial_updates=updates,
         last_seq=field_of(known, "seq", int, "known."),
         settings=read,
         report_names=names,
-        dial_ns=field_of(allowed, "dialTimeoutNs", int, "settings.permissions."),
-        clock=clock,
+        dial_timeout_ns=field_of(allowed, "dialTimeoutNs", int, "settings.permissions."),
+        clock_offset=clock_offset,
     )
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -15,7 +15,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel import wire
-from arrowkeel.net.codec import Code, Kind, MalformedMessageError, Message, ReleaseCause, encode
+from arrowkeel.net.codec import MalformedMessageError, Message, MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import MS
 from arrowkeel.net.connection import MessageConnection, SentRelease
 from arrowkeel.net.metrics import ConnectionLoss
@@ -27,11 +27,11 @@
 RESPONSE_TIMEOUT_NS = 250 * MS
 # How an attempt ended, by the cause in the release of its set-up.
 ENDING_BY_CAUSE: dict[int, it.Ending] = {
-    ReleaseCause.NO_CIRCUIT: it.Ending.TURNED_AWAY,
-    ReleaseCause.NEVER_LEFT: it.Ending.NOT_SENT,
-    ReleaseCause.TEMPORARY_FAILURE: it.Ending.CUT,
+    ReleaseCause.NO_CIRCUIT: it.Ending.REJECTED,
+    ReleaseCause.SET_UP_NOT_SENT: it.Ending.NOT_SENT,
+    ReleaseCause.TEMPORARY_FAILURE: it.Ending.INTERRUPTED,
     ReleaseCause.USER_BUSY: it.Ending.NUMBER_BUSY,
-    ReleaseCause.UNAVAILABLE: it.Ending.NUMBER_BUSY,
+    ReleaseCause.RESOURCE_UNAVAILABLE: it.Ending.NUMBER_BUSY,
 }
 # The codes of these notes in the simulator's protocol: their meaning is defined in `wire` alone.
 NOTE_CODES = {
@@ -67,12 +67,12 @@
     def message_received(self, connection: ExchangeConnection) -> None: ...
     def call_answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None: ...
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None: ...
     def call_released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None: ...
-    def group_state_received(self, connection: ExchangeConnection, report: it.Report | None) -> None: ...
+    def group_state_received(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None: ...
 
 
 class ExchangeConnection(MessageConnection):
@@ -125,19 +125,19 @@
         self.open_set_ups.add(request.call)
         self.awaiting_since_ns = self.awaiting_since_ns or now_ns
         parameters: dict[int, bytes | str] = {
-            Code.CLASS: request.class_name,
-            Code.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
-            Code.NUMBER: request.number_called,
-            Code.DESCRIPTION: request.description,
+            Parameter.CLASS: request.class_name,
+            Parameter.PATIENCE: str((request.abandon_at_ns - now_ns) // MS),
+            Parameter.NUMBER: request.number_called,
+            Parameter.DESCRIPTION: request.description,
         }
-        return self.write(encode(Kind.SET_UP, request.call, parameters))
+        return self.write(encode(MessageType.SET_UP, request.call, parameters))
 
     def send_release(self, call: str, cause: int, max_kept: int) -> bool:
         """Sends a release and returns whether it was written.
 
         Up to `max_kept` releases are kept while the connection may still lose them, to be sent again.
         """
-        if not self.write(encode(Kind.RELEASE, call, {Code.CAUSE: bytes((cause,))})):
+        if not self.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))})):
             return False
         if len(self.unconfirmed_releases) < max_kept:
             self.unconfirmed_releases[call] = SentRelease(cause, time.monotonic_ns())
@@ -145,22 +145,22 @@
 
     def handle_message(self, message: Message) -> None:
         """Passes a message on to the owner; raises `MalformedMessageError` if its contents can't be used."""
-        if message.flaw:
-            raise MalformedMessageError(message.flaw)
+        if message.parameter_error:
+            raise MalformedMessageError(message.parameter_error)
         self.record_received()
-        match message.kind:
-            case Kind.ANSWER:
+        match message.type:
+            case MessageType.ANSWER:
                 self.handle_answer(message)
-            case Kind.RELEASE:
+            case MessageType.RELEASE:
                 self.handle_release(message)
-            case Kind.GROUP_STATE:
+            case MessageType.GROUP_STATE:
                 report = self.decode_report(message)
-                self.raw_group_state = message.parameters.get(Code.REPORT, b"")
+                self.raw_group_state = message.parameters.get(Parameter.REPORT, b"")
                 self.events.group_state_received(self, report)
-            case Kind.PROGRESS | Kind.RELEASE_HEARD | Kind.TEST_RESULT:
+            case MessageType.PROGRESS | MessageType.RELEASE_COMPLETE | MessageType.TEST_RESULT:
                 pass
             case _:
-                raise MalformedMessageError(f"type {message.kind} is not sent by exchanges")
+                raise MalformedMessageError(f"type {message.type} is not sent by exchanges")
 
     def record_received(self) -> None:
         """Notes that a message was received: the connection works, and earlier output has arrived."""
@@ -180,16 +180,16 @@
         """
         if message.call not in self.open_set_ups:
             return
-        description = message.parameters.get(Code.DESCRIPTION)
+        description = message.parameters.get(Parameter.DESCRIPTION)
         if description is None:
-            raise MalformedMessageError(f"parameter {Code.DESCRIPTION.value}: missing")
+            raise MalformedMessageError(f"parameter {Parameter.DESCRIPTION.value}: missing")
         self.open_set_ups.discard(message.call)
         self.events.call_answered(self, message.call, description)
 
     def handle_release(self, message: Message) -> None:
         """Passes on the end of an open set-up, or of a standing call."""
         cause, report = message.cause(), self.decode_report(message)
-        note = NOTE_CODES.get(message.text(Code.NOTE, ""), 0)
+        note = NOTE_CODES.get(message.text(Parameter.NOTE, ""), 0)
         if message.call not in self.open_set_ups:
             self.events.call_released(self, message.call, cause, report)
             return
@@ -205,9 +205,9 @@
         ending = ENDING_BY_CAUSE.get(cause, it.Ending.NUMBER_BUSY)
         self.events.attempt_ended(message.call, ending, *wire.read_cause(note), report)
 
-    def decode_report(self, message: Message) -> it.Report | None:
+    def decode_report(self, message: Message) -> it.LoadReport | None:
         """The report in a message, or None if it has none; values that are missing count as unknown."""
-        values = message.figures(Code.REPORT)
+        values = message.named_values(Parameter.REPORT)
         if not values:
             return None
         names = self.events.report_names
@@ -215,4 +215,4 @@
         try:
             return wire.read_report({"load": load}, names)
         except (wire.MalformedError, ValueError) as error:
-            raise MalformedMessageError(f"parameter {Code.REPORT.value}: {error}") from None
+            raise MalformedMessageError(f"parameter {Parameter.REPORT.value}: {error}") from None
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -65,14 +65,14 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         wait_ns: int = 0,
-        report: it.Report | None = None,
+        report: it.LoadReport | None = None,
     ) -> None: ...
     def released_by_exchange(
-        self, pool: ExchangePool, call: str, cause: int, report: it.Report | None
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
     ) -> None: ...
-    def group_state_reported(self, exchange: str, report: it.Report | None) -> None: ...
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None: ...
     def exchange_connected(self, pool: ExchangePool) -> None: ...
     def exchange_process_died(self, pool: ExchangePool) -> None: ...
     def dial_failed(self) -> None: ...
@@ -89,7 +89,11 @@
 
     def __init__(self, exchange: str, address: Address, handler: ExchangeHandler, config: Config) -> None:
         self.exchange, self.address, self.handler = exchange, address, handler
-        self.report_names, self.dial_ns, self.bounds = config.report_names, config.dial_ns, config.bounds
+        self.report_names, self.dial_timeout_ns, self.bounds = (
+            config.report_names,
+            config.dial_timeout_ns,
+            config.bounds,
+        )
         self.is_serving = True
         self.is_closed = False
         self.connections: list[ExchangeConnection] = []  # the open ones, oldest first
@@ -133,7 +137,7 @@
         if self.redial_timer is not None:
             self.redial_timer.cancel()
             self.redial_timer = None
-        until_ns = time.monotonic_ns() + self.dial_ns
+        until_ns = time.monotonic_ns() + self.dial_timeout_ns
         self.dial_task = asyncio.get_running_loop().create_task(self.connect(until_ns))
 
     def schedule_redial(self) -> None:
@@ -150,7 +154,7 @@
     async def connect(self, until_ns: int) -> None:
         """Dials once; gives up at `until_ns` on the monotonic clock."""
         loop = asyncio.get_running_loop()
-        connection = ExchangeConnection(self.exchange, self.bounds.unsent, self)
+        connection = ExchangeConnection(self.exchange, self.bounds.max_unsent_bytes, self)
         failure: DialFailure | None = None
         try:
             async with asyncio.timeout_at(loop.time() + (until_ns - time.monotonic_ns()) / 1e9):
@@ -236,7 +240,7 @@
             log.info("exchange connection lost", reason=loss.value, **self.log_fields(connection))
         lost_releases = {call: release.cause for call, release in connection.unconfirmed_releases.items()}
         for call in sorted(connection.open_set_ups):
-            self.handler.attempt_ended(call, it.Ending.CUT)
+            self.handler.attempt_ended(call, it.Ending.INTERRUPTED)
             # The call may be standing at the exchange, its answer lost: the release frees its circuits.
             lost_releases[call] = ReleaseCause.NORMAL
         connection.open_set_ups.clear()
@@ -277,20 +281,20 @@
         self.liveness.add_call(connection.number, call, circuits)
 
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None:
         """Passes the end of an attempt on to the controller."""
         self.handler.attempt_ended(call, ending, cause, wait_ns, report)
 
     def call_released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None:
         """Passes a release on to the controller; a normal one also shows which process held the call."""
         if cause == ReleaseCause.NORMAL:
             self.liveness.record_normal_end(connection.number, call)
         self.handler.released_by_exchange(self, call, cause, report)
 
-    def group_state_received(self, connection: ExchangeConnection, report: it.Report | None) -> None:
+    def group_state_received(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None:
         """Updates what is known of the process and its connections, and passes a new state on.
 
         The exchange reports each state on every connection: one that lacks what another has received becomes
@@ -348,7 +352,7 @@
         """
         for connection in unresponsive:
             if connection.open_set_ups or not self.liveness.must_keep_open(connection.number):
-                connection.abort_as(ConnectionLoss.MUTE)
+                connection.abort_as(ConnectionLoss.UNRESPONSIVE)
 
     def close_spare_connection(self) -> None:
         """Closes one connection more than is kept, if one is unused and is not needed as evidence."""
@@ -368,7 +372,7 @@
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         elif connections := self.usable_connections():
             self.send_request(request, min(connections, key=lambda each: len(each.open_set_ups)))
-        elif len(self.queued_set_ups) >= self.bounds.records:
+        elif len(self.queued_set_ups) >= self.bounds.max_table_entries:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         else:
             self.queued_set_ups[request.call] = request
@@ -408,9 +412,9 @@
     def release(self, call: str, cause: int, connection: ExchangeConnection | None = None) -> None:
         """Releases a call at the exchange, on that connection or any; it waits until there is one."""
         connection = connection or next(iter(self.usable_connections()), None)
-        if connection is not None and connection.send_release(call, cause, self.bounds.records):
+        if connection is not None and connection.send_release(call, cause, self.bounds.max_table_entries):
             return
-        if len(self.waiting_releases) < self.bounds.records:
+        if len(self.waiting_releases) < self.bounds.max_table_entries:
             self.waiting_releases[call] = cause
             self.dial()
 
@@ -474,7 +478,7 @@
             else 0
         )
         if self.is_silent or silent_ns <= (
-            SILENCE_WARNING_NS if unresponsive_count else MAX_IDLE_NS + self.dial_ns
+            SILENCE_WARNING_NS if unresponsive_count else MAX_IDLE_NS + self.dial_timeout_ns
         ):
             return
         self.is_silent = True
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -36,7 +36,7 @@
         self.controller = Controller(config, Policy(config.settings, config.seed))
         self.loop = asyncio.get_running_loop()
         self.state = ServiceState.STARTING
-        self.operator_api = OperatorApi(self, config.bounds.operator_connections)
+        self.operator_api = OperatorApi(self, config.bounds.max_operator_connections)
         self.server: asyncio.Server | None = None
         self.stop_at_ns = 0
         self.finished: asyncio.Future[None] = self.loop.create_future()
@@ -66,16 +66,16 @@
         config = self.config
 
         def line() -> CallerConnection:
-            return CallerConnection(self.controller, config.bounds.unsent)
+            return CallerConnection(self.controller, config.bounds.max_unsent_bytes)
 
         if config.accept_fd is not None:  # the platform's socket: whoever runs after us has it too
             held = socket.socket(fileno=config.accept_fd)
             return await self.loop.create_server(
-                line, sock=held, backlog=config.bounds.backlog, start_serving=False
+                line, sock=held, backlog=config.bounds.accept_backlog, start_serving=False
             )
         host, port = config.listen.host, config.listen.port
         return await self.loop.create_server(
-            line, host, port, backlog=config.bounds.backlog, start_serving=False
+            line, host, port, backlog=config.bounds.accept_backlog, start_serving=False
         )
 
     @property
@@ -103,16 +103,16 @@
         if self.state is ServiceState.READY:
             self.state = ServiceState.STANDBY
             log.info("standby", **self.load())
-            self.controller.takes_calls = False
-            self.controller.callers.leave(DrainPlan.standby(time.monotonic_ns()))
+            self.controller.accepts_calls = False
+            self.controller.callers.start_departure(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def active(self) -> bool:
         if self.state is ServiceState.STANDBY:
             self.state = ServiceState.READY
             log.info("active again", **self.load())
-            self.controller.takes_calls = True
-            self.controller.callers.stay()
+            self.controller.accepts_calls = True
+            self.controller.callers.cancel_departure()
         return self.state is ServiceState.READY
 
     def load(self) -> dict[str, int]:
@@ -134,15 +134,15 @@
         """
         if self.stop_at_ns:
             return
-        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
+        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_deadline_ns
         self.state = ServiceState.STOPPING
         self.stop_at_ns = now + STOP_ACCEPT_NS
         log.info("stopping", **self.load())
         if self.config.accept_fd is not None:
             self.close_server()
-            self.controller.callers.leave(DrainPlan.hand_over(now, longest_ns))
+            self.controller.callers.start_departure(DrainPlan.hand_over(now, longest_ns))
         else:
-            self.controller.callers.leave(DrainPlan.stop(now, longest_ns))
+            self.controller.callers.start_departure(DrainPlan.stop(now, longest_ns))
         self.finish_if_due()
 
     def close_server(self) -> None:
@@ -155,15 +155,15 @@
         now, callers, calls = time.monotonic_ns(), self.controller.callers, self.controller.calls
         if now >= self.stop_at_ns:
             self.close_server()
-        if callers.must_answer_all(now):
-            self.controller.answer_all()
+        if callers.must_end_open_calls(now):
+            self.controller.fail_open_calls()
             self.finished.set_result(None)
         elif now >= self.stop_at_ns and not calls.open_count and not callers.connections:
             self.finished.set_result(None)
         else:
             self.loop.call_later(0.01, self.finish_if_due)
 
-    async def finish(self) -> None:
+    async def shut_down(self) -> None:
         await self.controller.close(time.monotonic_ns() + FLUSH_NS)
         self.operator_api.close()
         await asyncio.sleep(0.005)
--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -58,22 +58,22 @@
         self.settings, self.random = settings, Random(seed)
         # Spans are set for calls that are to stand in seconds: with shorter aims what is waited for is
         # shorter too, and a span kept whole outlives the distress it guards against. Longer aims keep them.
-        self.pace = min(1.0, max(PACE_LEAST, settings.longest_aim_ns / PACE_AIM_NS))
-        self.own, self.crowd = Processor(1.0, self.pace), max(1.0, settings.agents / CROWD)
+        self.pace = min(1.0, max(PACE_LEAST, settings.longest_target_ns / PACE_AIM_NS))
+        self.own, self.crowd = Processor(1.0, self.pace), max(1.0, settings.controllers / CROWD)
         self.own.calm_raise = OWN_RAISE
         # Sixty agents in doubt about sixty far ends probed more than callers called, at their expense. It
         # bounds what any common distress adds. Harm: that a far end has recovered is known seconds later.
         self.far_probe_gap = int(PROBE_GAP_NS * self.crowd)
-        self.wait_at_h, self.floor = WAIT_AT_H * settings.longest_aim_ns, float(settings.longest_aim_ns)
+        self.wait_at_h, self.floor = WAIT_AT_H * settings.longest_target_ns, float(settings.longest_target_ns)
         self.far, self.watched = dict[str, Far](), dict[str, Far]()  # watched: with news, to be judged
         self.by_number: dict[int, Far] = {}
         self.calls, self.held = dict[str, Call](), dict[str, Call]()
         self.overtaken = dict[str, int]()  # set-ups that a later one has overtaken, and when
         self.busy = GrowingGaps(BUSY_GAP_NS, BUSY_GAP_MOST_NS)
-        self.asked = FirstTimes(settings.longest_give_up_ns)
+        self.asked = FirstTimes(settings.longest_deadline_ns)
         self.numbers: list[int] = []
         self.turned_back = 0.0  # share of the latest tandem attempts, whatever their destination
-        self.hot, self.asks = False, settings.may_probe and settings.reporting is it.Reporting.ON_PROBE
+        self.hot, self.asks = False, settings.may_probe and settings.reporting is it.LoadReporting.ON_PROBE
         self.began_at = self.seen_at = self.came_at = self.timer_at = self.stalled_at = self.ask_at = 0
         self.out: list[it.Action] = []
         self.handlers: dict[type, Callable[[Any, int], None]] = {
@@ -100,7 +100,7 @@
         self.look(now_ns)
         return self.out
 
-    def avoids(self, exchange: str) -> bool:
+    def is_skipped(self, exchange: str) -> bool:
         """Whether a listed exchange gets no calls just now, but for trials; for operators to see."""
         far = self.far.get(exchange)
         return far is None or not far.serving or far.cpu.silent or far.cpu.state == BLOCKING
@@ -112,7 +112,7 @@
         for entry in event.entries:
             new = Far(entry.exchange, entry.number, Processor(self.crowd, self.pace))
             far = self.far.setdefault(entry.exchange, new)
-            far.number, far.serving = entry.number, entry.listing is it.Listing.SERVING
+            far.number, far.serving = entry.number, entry.status is it.ExchangeStatus.SERVING
             for cpu in (far.cpu, self.own) if far.number == self.settings.own_number else (far.cpu,):
                 if entry.started_ns > cpu.started:  # its bucket starts filled at random: nobody in step
                     cpu.begin_anew(entry.started_ns, now)
@@ -126,18 +126,18 @@
         self.far = {f.exchange: f for f in self.far.values() if f.serving or self.by_number[f.number] is f}
         self.numbers = sorted(self.by_number.keys() - {self.settings.own_number})
 
-    def read_report(self, exchange: str, report: it.Report | None, now: int) -> None:
+    def read_report(self, exchange: str, report: it.LoadReport | None, now: int) -> None:
         far = self.far.get(exchange)
         if far is None or report is None:
             return
         if report.free_circuits is not None:
             far.free, far.size = report.free_circuits, report.group_size or far.size
-        if report.accepted_per_s is not None:
-            far.cpu.fair = report.accepted_per_s / self.settings.agents
+        if report.max_set_ups_per_s is not None:
+            far.cpu.fair = report.max_set_ups_per_s / self.settings.controllers
         scales = (  # each field in its own scale
             (report.wait_ns, self.wait_at_h),
-            (report.hold_back_share, HOLD_BACK_AT_H),
-            (report.queued, QUEUED_AT_H),
+            (report.reduction_share, HOLD_BACK_AT_H),
+            (report.queued_messages, QUEUED_AT_H),
         )
         if scores := [value / at_h for value, at_h in scales if value is not None]:
             cpu = self.own if far.number == self.settings.own_number else far.cpu
@@ -170,7 +170,7 @@
             pressure = max(0.0, cpu.excess(now, self.floor) - excess) / self.wait_at_h
             pressure = max(pressure, cpu.told if cpu.told_at > now - span else 0.0)
             oldest = cpu.pending.oldest(now)
-            quiet = now - max(oldest, cpu.heard_at) > SILENT_SHARE * self.settings.shortest_aim_ns
+            quiet = now - max(oldest, cpu.heard_at) > SILENT_SHARE * self.settings.shortest_target_ns
             if quiet and not cpu.silent and len(cpu.pending) + cpu.missed > 1 and own < H:
                 cpu.miss(now, self.spread())
             heard = len(cpu.pending) > 0 or pressure > 0 or cpu.heard_at > now - cpu.valid_ns
@@ -196,17 +196,19 @@
     def on_call(self, event: it.CallOffered, now: int) -> None:
         came, known = self.came_at, event.number_called and not event.transit
         first = self.asked.of(event.number_called, now, came) if known else came  # redials: the first aim
-        kind, start = self.settings.class_named(event.class_name), came if event.was_cut else first
-        aim_at, ends = start + kind.aim_ns, now + max(0, event.patience_ns)
+        kind, start = self.settings.find_class(event.class_name), came if event.was_interrupted else first
+        aim_at, ends = start + kind.target_ns, now + max(0, event.patience_ns)
         dest = self.by_number.get(event.destination)
         if first == came:  # no redial
             self.own.asked.add(came)
             if dest is not None and not event.transit:
                 dest.cpu.asked.add(came)
-        late = now >= aim_at or (first == came and event.redial and not event.was_cut)
-        worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.most_worth
-        hold_until = min(aim_at - int(kind.aim_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
-        call = self.calls[event.call] = Call(event, aim_at, ends, now, hold_until, worth, kind.pools)
+        late = now >= aim_at or (first == came and event.redial and not event.was_interrupted)
+        worth = kind.worth * (kind.late_worth if late else 1.0) / self.settings.highest_worth
+        hold_until = min(aim_at - int(kind.target_ns * (1 - HOLD_SHARE)), ends - 2 * TICK_NS)
+        call = self.calls[event.call] = Call(
+            event, aim_at, ends, now, hold_until, worth, kind.exchange_numbers
+        )
         if not event.transit and self.busy.shut(event.number_called, now):
             # A busy number is gapped by itself: its exchange is not curbed.
             self.refuse(call, it.RefusalReason.NUMBER_GAPPED)
@@ -231,10 +233,10 @@
         if call.attempts >= self.settings.attempt_limit:
             return it.RefusalReason.ATTEMPTS_USED
         if self.own.opens_at(now, tau) > now:
-            return it.RefusalReason.OWN_PROCESSOR
+            return it.RefusalReason.LOCAL_OVERLOAD
         if dest.cpu.opens_at(now, tau) > now:
             silent = dest.cpu.silent
-            return it.RefusalReason.FAR_SILENT if silent else it.RefusalReason.FAR_PROCESSOR
+            return it.RefusalReason.REMOTE_SILENT if silent else it.RefusalReason.REMOTE_OVERLOAD
         if not self.room(dest, call, 0.0):
             return it.RefusalReason.NO_CIRCUIT
         return it.RefusalReason.TOO_LATE
@@ -291,14 +293,17 @@
         return self.draw_tandem(call, dest, now) if may_turn else None
 
     def room(self, far: Far, call: Call, kept: float) -> bool:
-        return far.free is None or far.free - call.event.width >= int(kept)
+        return far.free is None or far.free - call.event.circuits >= int(kept)
 
     def reserve(self, far: Far) -> float:
         return max(1.0, RESERVE_SHARE * far.size)
 
     def draw_tandem(self, call: Call, dest: Far, now: int) -> Far | None:
         pool = self.numbers if self.settings.is_mesh else call.pools
-        advised, few = call.event.from_or_advised, self.random.random() < self.turned_back  # the mesh is full
+        advised, few = (
+            call.event.sender_or_advised_tandem,
+            self.random.random() < self.turned_back,  # the mesh is full
+        )
         looked_at = [] if few else self.random.sample(pool, min(len(pool), CANDIDATES))
         options: list[tuple[Far, float]] = []
         for number in dict.fromkeys([*dest.weights, *looked_at, *([advised] if advised in pool else [])]):
@@ -324,7 +329,7 @@
         if age >= warm:
             return 0.0
         share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age / warm
-        agents = 1 if cpu is self.own else self.settings.agents
+        agents = 1 if cpu is self.own else self.settings.controllers
         # What callers asked of it, not what is sent: in distress that is little and starves what returns,
         # whatever the distress was; nor a mean of all pairs. Harm: calls of a flood count as usual ones.
         usual = cpu.asked.count(now) * S / max(RATE_SPAN_NS, min(ASKED_SPAN_NS, now - self.began_at))
@@ -335,7 +340,7 @@
         call.out, call.attempts = far, call.attempts + 1
         if far.number != call.event.destination:
             call.tried.add(far.number)
-        far.free = None if far.free is None else max(0, far.free - call.event.width)
+        far.free = None if far.free is None else max(0, far.free - call.event.circuits)
         far.cpu.take(now)
         far.cpu.pending.sent[call.id] = now
         self.watched[far.exchange] = far
@@ -351,9 +356,9 @@
 
         After faults of the signalling at a processor that is not pressed there is nobody to make room for.
         """
-        dest, longest = self.by_number.get(call.event.destination), self.settings.longest_advice_ns
+        dest, longest = self.by_number.get(call.event.destination), self.settings.max_redial_after_ns
         soon = call.faulted and dest is not None and not self.pressed(dest)
-        after = min(self.settings.release_ns, longest) if soon else longest
+        after = min(self.settings.release_guard_ns, longest) if soon else longest
         advise = self.settings.may_advise_redial and not call.event.transit
         self.forget(call.id, it.Refuse(call.id, after if advise else 0, reason))
 
@@ -401,11 +406,15 @@
         self.learn_ending(call, sent_to, event, now)
         if event.call_over:
             self.forget(call.id)
-        elif event.ending is it.Ending.COMPLETED or event.cause is it.Cause.LINES_BUSY or now >= call.ends:
+        elif (
+            event.ending is it.Ending.COMPLETED
+            or event.cause is it.FailureCause.LINES_BUSY
+            or now >= call.ends
+        ):
             self.forget(call.id, it.Fail(call.id))  # another error is a signalling fault: it goes again
         else:
-            if event.ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-                call.not_before = now + self.settings.release_ns  # rule 5: the release is awaited
+            if event.ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
+                call.not_before = now + self.settings.release_guard_ns  # rule 5: the release is awaited
             self.decide(call, now)
 
     def learn_ending(self, call: Call, far: Far, event: it.AttemptEnded, now: int) -> None:
@@ -415,22 +424,22 @@
             unheard = cpu.missed > 1 and cpu.heard_at < now - cpu.valid_ns // 2
             if unheard or event.ending is it.Ending.NO_CONNECTION:
                 cpu.miss(now, self.spread())
-        elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.PROCESSOR_FULL:
+        elif event.ending is it.Ending.NOT_SENT and event.cause is it.FailureCause.PROCESSOR_FULL:
             call.not_before = now + TRIAL_GAP_NS  # the own processor is down
-        elif event.ending is it.Ending.NOT_SENT and event.cause is it.Cause.NO_CIRCUIT:
+        elif event.ending is it.Ending.NOT_SENT and event.cause is it.FailureCause.NO_CIRCUIT:
             far.free = 0  # not where it came too late or the exchange drains: the group has not changed
         elif event.ending is it.Ending.NUMBER_BUSY:
             cpu.hear(now)
-            if event.cause is it.Cause.LINES_BUSY:
+            if event.cause is it.FailureCause.LINES_BUSY:
                 self.busy.shut_again(call.event.number_called, now, self.spread())
             else:
                 call.faulted = True
                 if far is not dest:
                     self.weigh(dest, far, now, stood=False)
-        elif event.ending is it.Ending.TURNED_AWAY:
+        elif event.ending is it.Ending.REJECTED:
             cpu.hear(now)
-            if event.cause in (it.Cause.PROCESSOR_FULL, it.Cause.BEYOND_FULL):
-                full = cpu if event.cause is it.Cause.PROCESSOR_FULL else dest.cpu
+            if event.cause in (it.FailureCause.PROCESSOR_FULL, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL):
+                full = cpu if event.cause is it.FailureCause.PROCESSOR_FULL else dest.cpu
                 full.told, full.told_at = R, now  # its wait is beyond any aim: no set-up until it has drained
                 self.watched.update({far.exchange: far, dest.exchange: dest})
             if far is not dest:
@@ -447,7 +456,7 @@
                 del self.overtaken[call_id]  # behind a tandem there is another queue
             elif not self.pressed(call.out) and self.is_lost(call.out.cpu, now - at, now):
                 del self.overtaken[call_id]
-                again = now + self.settings.release_ns + int(max(0.0, call.out.cpu.delay)) < call.ends
+                again = now + self.settings.release_guard_ns + int(max(0.0, call.out.cpu.delay)) < call.ends
                 if again and self.settings.may_cancel and call.attempts < self.settings.attempt_limit:
                     self.out.append(it.CancelAttempt(call.id, call.attempts - 1))
 
--- a/arrowkeel/wire.py
+++ b/arrowkeel/wire.py
@@ -11,25 +11,29 @@
 ENDINGS = {
     "served": it.Ending.COMPLETED,
     "server_error": it.Ending.NUMBER_BUSY,
-    "turned_away": it.Ending.TURNED_AWAY,
+    "turned_away": it.Ending.REJECTED,
     "no_answer": it.Ending.NO_ANSWER,
     "no_connection": it.Ending.NO_CONNECTION,
-    "connection_lost": it.Ending.CUT,
-    "called_off": it.Ending.CALLED_OFF,
+    "connection_lost": it.Ending.INTERRUPTED,
+    "called_off": it.Ending.CANCELLED,
     "not_sent": it.Ending.NOT_SENT,
 }
 CAUSES = {
-    0: it.Cause.UNSAID,
-    1: it.Cause.NO_CIRCUIT,
-    2: it.Cause.TURNED_BACK,
-    3: it.Cause.PROCESSOR_FULL,
-    4: it.Cause.LINES_BUSY,
+    0: it.FailureCause.UNSPECIFIED,
+    1: it.FailureCause.NO_CIRCUIT,
+    2: it.FailureCause.RETURNED_BY_TANDEM,
+    3: it.FailureCause.PROCESSOR_FULL,
+    4: it.FailureCause.LINES_BUSY,
 }
 CODE_MASK = 16
 BEYOND_FULL_CODE = 18
 PROCESSOR_FULL_CODE = 3
 MS = 1_000_000
-LISTINGS = {"IN": it.Listing.SERVING, "LAME": it.Listing.DRAINING, "OUT": it.Listing.GONE}
+LISTINGS = {
+    "IN": it.ExchangeStatus.SERVING,
+    "LAME": it.ExchangeStatus.DRAINING,
+    "OUT": it.ExchangeStatus.GONE,
+}
 LIST_KINDS = {
     "diff": it.ListKind.CHANGES,
     "snapshot": it.ListKind.COMPLETE,
@@ -37,20 +41,20 @@
     "error": it.ListKind.FAILED,
 }
 REPORTING = {
-    "none": it.Reporting.NONE,
-    "answers": it.Reporting.IN_ANSWERS,
-    "probe": it.Reporting.ON_PROBE,
+    "none": it.LoadReporting.NONE,
+    "answers": it.LoadReporting.IN_ANSWERS,
+    "probe": it.LoadReporting.ON_PROBE,
 }
-# Wire name of a report value: field of Report, factor to the field's unit.
+# Wire name of a report value: field of LoadReport, factor to the field's unit.
 REPORT_FIELDS = {
     "idle": ("free_circuits", 1.0),
     "circuits": ("group_size", 1.0),
-    "inflight": ("in_work", 1.0),
-    "queue": ("queued", 1.0),
-    "util": ("busy_share", 1.0),
+    "inflight": ("set_ups_in_progress", 1.0),
+    "queue": ("queued_messages", 1.0),
+    "util": ("utilization", 1.0),
     "latency_ms": ("wait_ns", 1e6),
-    "max_rate": ("accepted_per_s", 1.0),
-    "reduce": ("hold_back_share", 1.0),
+    "max_rate": ("max_set_ups_per_s", 1.0),
+    "reduce": ("reduction_share", 1.0),
 }
 WHOLE_FIELDS = frozenset({"free_circuits", "group_size"})
 TEXT_FIELDS = {"BEGIN": " options="}
@@ -121,7 +125,7 @@
     return choices[value]
 
 
-def read_report(fields: Mapping[str, str], names: tuple[str, ...]) -> it.Report | None:
+def read_report(fields: Mapping[str, str], names: tuple[str, ...]) -> it.LoadReport | None:
     row = fields.get("load")
     if row is None or row == "":
         return None
@@ -137,23 +141,23 @@
         if value >= 0 and value != float("inf"):  # -1 and what is no figure at all count as absent
             target, factor = known
             values[target] = int(value) if target in WHOLE_FIELDS else value * factor
-    return it.Report(**values)
+    return it.LoadReport(**values)
 
 
-def read_cause(code: int) -> tuple[it.Cause, int]:
+def read_cause(code: int) -> tuple[it.FailureCause, int]:
     if code == BEYOND_FULL_CODE:
-        return it.Cause.BEYOND_FULL, 0
+        return it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL, 0
     low, wait_ms = code % CODE_MASK, code // CODE_MASK
-    return CAUSES.get(low, it.Cause.UNSAID), wait_ms * MS if low == PROCESSOR_FULL_CODE else 0
+    return CAUSES.get(low, it.FailureCause.UNSPECIFIED), wait_ms * MS if low == PROCESSOR_FULL_CODE else 0
 
 
 def read_entry(fields: Mapping[str, str]) -> it.ListedExchange:
     return it.ListedExchange(
         exchange=text(fields, "exchange"),
         number=whole(fields, "placeNo"),
-        listing=one_of(fields, "health", LISTINGS),
+        status=one_of(fields, "health", LISTINGS),
         zone=fields.get("locality", ""),
-        kind=fields.get("shape", ""),
+        machine_type=fields.get("shape", ""),
         rating=number(fields, "rating", 1.0),
         started_ns=whole(fields, "sinceNs", 0),
     )
@@ -168,11 +172,11 @@
             destination=whole(fields, "farEnd"),
             patience_ns=whole(fields, "timeBudgetNs"),
             number_called=fields.get("targetKey", ""),
-            width=whole(fields, "units", 1),
-            from_or_advised=whole(fields, "advisedRoute", -1),
+            circuits=whole(fields, "units", 1),
+            sender_or_advised_tandem=whole(fields, "advisedRoute", -1),
             redial=flag(fields, "resent"),
             transit=flag(fields, "transit"),
-            was_cut=flag(fields, "cameBack"),
+            was_interrupted=flag(fields, "cameBack"),
         )
     if name == "OPENED":
         return it.CallEstablished(
@@ -191,13 +195,13 @@
             delay_ns=whole(fields, "lagNs", 0),
             call_over=flag(fields, "over"),
             cause=cause,
-            told_wait_ns=wait_ns,
+            reported_wait_ns=wait_ns,
             report=read_report(fields, names),
         )
     if name == "LAPSED":
         return it.CallerLeft(text(fields, "msgId"))
     if name == "REMINDER":
-        return it.TimerRang(whole(fields, "label"))
+        return it.TimerExpired(whole(fields, "label"))
     if name == "PROBED":
         return it.ProbeAnswer(
             exchange=text(fields, "exchange"),
@@ -232,29 +236,29 @@
     classes = tuple(
         it.CallClass(
             name=str(entry["name"]),
-            aim_ns=int(entry["onTimeNs"]),
-            give_up_ns=int(entry["deadlineNs"]),
+            target_ns=int(entry["onTimeNs"]),
+            deadline_ns=int(entry["deadlineNs"]),
             worth=float(entry.get("credit", 1.0)),
             late_worth=float(entry.get("lateWorth", 0.0)),
-            hold_ns=int(holds[index]) if index < len(holds) else 10_000_000_000,
-            pools=tuple(int(pool) for pool in pools[index] or ()) if index < len(pools) else (),
+            holding_time_ns=int(holds[index]) if index < len(holds) else 10_000_000_000,
+            exchange_numbers=tuple(int(pool) for pool in pools[index] or ()) if index < len(pools) else (),
         )
         for index, entry in enumerate(raw["classes"])
     )
     return it.Settings(
         classes=classes,
         own_number=int(family.get("ownNumber", -1)),
-        agents=int(raw.get("groupSize", 1)),
-        agent_index=int(raw.get("rank", 0)),
+        controllers=int(raw.get("groupSize", 1)),
+        controller_index=int(raw.get("rank", 0)),
         is_mesh=family.get("layout", "network") == "network",
-        reporting=REPORTING.get((raw.get("report") or {}).get("how", "none"), it.Reporting.NONE),
+        reporting=REPORTING.get((raw.get("report") or {}).get("how", "none"), it.LoadReporting.NONE),
         may_probe=bool(allowed.get("probes", False)),
         may_cancel=bool(allowed.get("cancel", False)),
         may_advise_redial=bool(allowed.get("retryAfter", False)),
-        longest_advice_ns=int(allowed.get("maxRetryAfterNs", 0)),
+        max_redial_after_ns=int(allowed.get("maxRetryAfterNs", 0)),
         attempt_limit=int(allowed.get("tryLimit", 1)),
-        release_ns=int(family.get("guardNs", 0)),
-        repeat_set_up_ns=int(family.get("retransmitNs", 0)),
+        release_guard_ns=int(family.get("guardNs", 0)),
+        set_up_retransmit_ns=int(family.get("retransmitNs", 0)),
         list_on_request=raw.get("registryMode", "push") == "ask",
         list_age_limit_ns=int(rules.get("mustAskInNs", 10_000_000_000)),
         cold_share=float(rules.get("coldShare", 0.3)),
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -12,7 +12,7 @@
 
 from arrowkeel import interface as it
 from arrowkeel.net import exchange_pool
-from arrowkeel.net.codec import Code, Kind
+from arrowkeel.net.codec import MessageType, Parameter
 from arrowkeel.net.config import Address
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
 from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE, ExchangePool
@@ -40,11 +40,11 @@
         self.reported.put_nowait(("established", call))
 
     def released_by_exchange(
-        self, pool: ExchangePool, call: str, cause: int, report: it.Report | None
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
     ) -> None:
         self.reported.put_nowait(("released", call, cause))
 
-    def group_state_reported(self, exchange: str, report: it.Report | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None:
         self.reported.put_nowait(("state", report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -100,7 +100,7 @@
         assert await handler.reported.get() == ("connected",)
         pool.release(OTHER, 16)
         first = await asyncio.to_thread(peer.receive)
-        assert first is not None and (first.kind, first.call) == (Kind.RELEASE, OTHER)
+        assert first is not None and (first.type, first.call) == (MessageType.RELEASE, OTHER)
 
     run_with_pool(listener.address, scenario)
 
@@ -149,14 +149,14 @@
             await asyncio.to_thread(exchange.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)
         ]
         for connection in connections:
-            connection.send(Kind.GROUP_STATE, "0" * 16, {Code.REPORT: "idle:7;circuits:60"})
+            connection.send(MessageType.GROUP_STATE, "0" * 16, {Parameter.REPORT: "idle:7;circuits:60"})
             connection.release(OTHER, 16)
         reports: list[tuple[Any, ...]] = []
         while reports.count(("released", OTHER, 16)) < len(connections):
             reports.append(await handler.reported.get())
         assert [report[1] for report in reports if report[0] == "state"] == [
-            it.Report(40, 60),
-            it.Report(7, 60),
+            it.LoadReport(40, 60),
+            it.LoadReport(7, 60),
         ]
 
     run_with_pool(exchange.address, scenario)
@@ -189,10 +189,10 @@
         await sweep_until(pool, lambda: first not in pool.connections)
         pool.release("f" * 16, 16)
         received: list[tuple[int, str]] = []
-        while not received or received[-1] != (Kind.RELEASE, "f" * 16):
+        while not received or received[-1] != (MessageType.RELEASE, "f" * 16):
             _, message = await asyncio.to_thread(exchange.came.get, timeout=20)
-            received.append((message.kind, message.call))
-        assert received.count((Kind.RELEASE, CALL)) == 1 and (Kind.RELEASE, third) in received
+            received.append((message.type, message.call))
+        assert received.count((MessageType.RELEASE, CALL)) == 1 and (MessageType.RELEASE, third) in received
 
     run_with_pool(exchange.address, scenario)
 
@@ -215,17 +215,17 @@
 @pytest.mark.parametrize(
     ("cause", "note", "expected"),
     [
-        (34, "tandem_refused", (it.Ending.TURNED_AWAY, it.Cause.TURNED_BACK)),
-        (34, "destination_full", (it.Ending.TURNED_AWAY, it.Cause.BEYOND_FULL)),
-        (34, "processor_full", (it.Ending.TURNED_AWAY, it.Cause.PROCESSOR_FULL)),
-        (102, "group_full", (it.Ending.NOT_SENT, it.Cause.NO_CIRCUIT)),
-        (17, "user_busy", (it.Ending.NUMBER_BUSY, it.Cause.LINES_BUSY)),
-        (47, "", (it.Ending.NUMBER_BUSY, it.Cause.UNSAID)),
-        (41, "", (it.Ending.CUT, it.Cause.UNSAID)),
+        (34, "tandem_refused", (it.Ending.REJECTED, it.FailureCause.RETURNED_BY_TANDEM)),
+        (34, "destination_full", (it.Ending.REJECTED, it.FailureCause.PROCESSOR_BEYOND_TANDEM_FULL)),
+        (34, "processor_full", (it.Ending.REJECTED, it.FailureCause.PROCESSOR_FULL)),
+        (102, "group_full", (it.Ending.NOT_SENT, it.FailureCause.NO_CIRCUIT)),
+        (17, "user_busy", (it.Ending.NUMBER_BUSY, it.FailureCause.LINES_BUSY)),
+        (47, "", (it.Ending.NUMBER_BUSY, it.FailureCause.UNSPECIFIED)),
+        (41, "", (it.Ending.INTERRUPTED, it.FailureCause.UNSPECIFIED)),
     ],
 )
 def test_each_rejection_has_the_meaning_that_the_simulator_adapter_gives_it(
-    cause: int, note: str, expected: tuple[it.Ending, it.Cause]
+    cause: int, note: str, expected: tuple[it.Ending, it.FailureCause]
 ) -> None:
     listener, ended = Listener(), []
 
@@ -233,17 +233,17 @@
         handler.attempt_ended = lambda *args: (ended.append(args), handler.reported.put_nowait(("end",)))  # type: ignore
         pool.set_up(set_up_request(CALL))
         peer = await accept_peer(listener)
-        await asyncio.to_thread(peer.expect, Kind.SET_UP)
+        await asyncio.to_thread(peer.expect, MessageType.SET_UP)
         peer.send(
-            Kind.RELEASE,
+            MessageType.RELEASE,
             CALL,
-            {Code.CAUSE: bytes((cause,)), Code.NOTE: note, Code.REPORT: "idle:3;circuits:9"},
+            {Parameter.CAUSE: bytes((cause,)), Parameter.NOTE: note, Parameter.REPORT: "idle:3;circuits:9"},
         )
         while await handler.reported.get() != ("end",):
             pass
 
     run_with_pool(listener.address, scenario)
-    assert ended == [(CALL, expected[0], expected[1], 0, it.Report(3, 9))]
+    assert ended == [(CALL, expected[0], expected[1], 0, it.LoadReport(3, 9))]
 
 
 def test_the_normal_end_of_an_earlier_attempt_does_not_end_the_current_one() -> None:
@@ -255,9 +255,9 @@
     async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.set_up(set_up_request(CALL))
         peer = await accept_peer(listener)
-        await asyncio.to_thread(peer.expect, Kind.SET_UP)
+        await asyncio.to_thread(peer.expect, MessageType.SET_UP)
         peer.release(CALL, 16)
-        peer.send(Kind.ANSWER, CALL, {Code.DESCRIPTION: b"answer"})
+        peer.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
         reports = [await handler.reported.get()]
         while reports[-1][0] not in ("ended", "established"):
             reports.append(await handler.reported.get())
@@ -279,7 +279,7 @@
         while connection.write(bytes(16384)):
             max_buffered, sent = max(max_buffered, connection.transport.get_write_buffer_size()), sent + 1
             assert sent < 10_000, "the output buffered for the peer is not bounded"
-        assert max_buffered <= pool.bounds.unsent and not connection.is_open
+        assert max_buffered <= pool.bounds.max_unsent_bytes and not connection.is_open
         peer.socket.close()
 
     run_with_pool(listener.address, scenario)
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -52,12 +52,12 @@
             for call, (exchange, attempt) in list(self.out.items()):
                 if self.now >= self.ends[call]:
                     self.end(call, exchange, attempt, it.Ending.NO_ANSWER)
-            self.tell(it.TimerRang(0))
+            self.tell(it.TimerExpired(0))
 
     def end(self, call: str, exchange: str, attempt: int, ending: it.Ending) -> None:
         del self.out[call]
-        if ending in (it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF):
-            self.released[call] = self.now + SETTINGS.release_ns
+        if ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
+            self.released[call] = self.now + SETTINGS.release_guard_ns
         self.tell(it.AttemptEnded(call, attempt, exchange, ending))
 
     def step(self, what: str, pick: int) -> None:
@@ -79,12 +79,12 @@
             number = 1 + pick % 4
             serving = pick % 3 > 0
             (self.serving.add if serving else self.serving.discard)(f"x{number}")
-            listing = it.Listing.SERVING if serving else it.Listing.DRAINING
+            listing = it.ExchangeStatus.SERVING if serving else it.ExchangeStatus.DRAINING
             self.tell(
                 it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange(f"x{number}", number, listing),))
             )
         elif what == "free":
-            report = it.Report(pick % 30, 30)
+            report = it.LoadReport(pick % 30, 30)
             self.tell(it.ProbeAnswer(f"x{1 + pick % 4}", it.Ending.COMPLETED, 0, report))
         elif what == "wait":
             self.wait(pick % 400)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from arrowkeel import interface as it
 from tests.conftest import MS, SETTINGS, PolicyDriver, S, answers, listed, sent
 
-ENDED_UNSURE = [it.Ending.NO_ANSWER, it.Ending.CUT, it.Ending.CALLED_OFF]
+ENDED_UNSURE = [it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED]
 
 
 @pytest.mark.parametrize("ending", [e for e in it.Ending if e is not it.Ending.COMPLETED])
@@ -61,12 +61,12 @@
 def test_rule_2_a_call_with_an_attempt_out_is_not_sent_again() -> None:
     driver = PolicyDriver()
     call, _ = driver.offer(2)
-    late = driver.tell(it.AttemptEnded(call, 5, "x2", it.Ending.TURNED_AWAY))  # no such attempt is out
+    late = driver.tell(it.AttemptEnded(call, 5, "x2", it.Ending.REJECTED))  # no such attempt is out
     assert not sent(late + driver.wait(2900), call)
 
 
-@pytest.mark.parametrize("listing", [it.Listing.DRAINING, it.Listing.GONE])
-def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(listing: it.Listing) -> None:
+@pytest.mark.parametrize("listing", [it.ExchangeStatus.DRAINING, it.ExchangeStatus.GONE])
+def test_rule_3_nothing_new_to_a_draining_or_gone_exchange(listing: it.ExchangeStatus) -> None:
     driver = PolicyDriver()
     driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, listing),)))
     actions = [action for _ in range(20) for action in driver.offer(2)[1] + driver.wait(100)]
@@ -78,7 +78,9 @@
 def test_rule_3_a_held_call_does_not_go_to_an_exchange_that_began_to_drain() -> None:
     driver = PolicyDriver(free=0)
     call, _ = driver.offer(2)
-    driver.tell(it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.Listing.DRAINING),)))
+    driver.tell(
+        it.ExchangeList(it.ListKind.CHANGES, (it.ListedExchange("x2", 2, it.ExchangeStatus.DRAINING),))
+    )
     assert "x2" not in sent(driver.circuits("x2", 20) + driver.wait(2000), call)
 
 
@@ -128,19 +130,19 @@
         if sent(actions, call):
             again = driver.now
         actions = driver.wait(5, step_ms=5)
-    assert again is None or again >= told + SETTINGS.release_ns
+    assert again is None or again >= told + SETTINGS.release_guard_ns
 
 
 def test_rule_5_a_cut_call_is_tried_again_once_the_release_is_over() -> None:
-    driver = PolicyDriver(settings=replace(SETTINGS, release_ns=200 * MS))
+    driver = PolicyDriver(settings=replace(SETTINGS, release_guard_ns=200 * MS))
     call, _ = driver.offer(2)
-    assert sent(driver.end(call, "x2", it.Ending.CUT) + driver.wait(400), call) == ["x2"]
+    assert sent(driver.end(call, "x2", it.Ending.INTERRUPTED) + driver.wait(400), call) == ["x2"]
 
 
 def test_a_transit_call_goes_to_its_destination_or_back() -> None:
     driver = PolicyDriver()
-    call, actions = driver.offer(2, transit=True, from_or_advised=1)
+    call, actions = driver.offer(2, transit=True, sender_or_advised_tandem=1)
     assert sent(actions, call) == ["x2"]
     driver.circuits("x2", 1)
-    call, actions = driver.offer(2, transit=True, from_or_advised=1)
+    call, actions = driver.offer(2, transit=True, sender_or_advised_tandem=1)
     assert not sent(actions) and len(answers(actions, call)) == 1
--- a/tests/test_vanished_exchange.py
+++ b/tests/test_vanished_exchange.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from arrowkeel.net.codec import Code, Kind, ReleaseCause
+from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause
 from tests.peers import CALL, OTHER, Peer, Program, event, instance, running
 from tests.standins.fault_proxy import FaultProxy, threaded
 
@@ -53,7 +53,7 @@
     caller = establish_two_calls(program)
     run(proxy.cut)
     vanished_at_s = time.monotonic()
-    program.exchange.state = {Code.REPORT: "idle:60;circuits:60;max_rate:-1"}
+    program.exchange.state = {Parameter.REPORT: "idle:60;circuits:60;max_rate:-1"}
     program.exchange.drop(*program.exchange.lines, reset=True)
     time.sleep(4.0)
     run(proxy.heal)
@@ -76,7 +76,7 @@
     time.sleep(RELEASE_LIMIT_S + 1.0)
     for call in (CALL, OTHER):
         program.exchange.release(call, ReleaseCause.NORMAL)
-        assert caller.expect(Kind.RELEASE, call).cause() == ReleaseCause.NORMAL
+        assert caller.expect(MessageType.RELEASE, call).cause() == ReleaseCause.NORMAL
 
 
 def establish_two_calls(program: Program) -> Peer:
@@ -90,8 +90,8 @@
 def expect_both_released(caller: Peer, since_s: float) -> None:
     released = [caller.receive() for _ in range(2)]
     took_s = time.monotonic() - since_s
-    assert {(message.kind, message.call) for message in released if message is not None} == {
-        (Kind.RELEASE, CALL),
-        (Kind.RELEASE, OTHER),
+    assert {(message.type, message.call) for message in released if message is not None} == {
+        (MessageType.RELEASE, CALL),
+        (MessageType.RELEASE, OTHER),
     }
     assert took_s < RELEASE_LIMIT_S
