--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -24,9 +24,9 @@
 
 # The delay between dials to an exchange that accepts no connection or drops it at once: the first delay, and
 # the maximum that it doubles up to.
-INITIAL_REDIAL_DELAY_NS, MAX_REDIAL_DELAY_NS = 50 * MS, 1000 * MS
+INITIAL_RECONNECT_DELAY_NS, MAX_RECONNECT_DELAY_NS = 50 * MS, 1000 * MS
 # The maximum delay while the exchange holds standing calls, because their lease is running out.
-MAX_REDIAL_DELAY_WITH_CALLS_NS = 250 * MS
+MAX_RECONNECT_DELAY_WITH_CALLS_NS = 250 * MS
 # If a dial is refused later than this after the last connection was lost, the process and its calls are gone.
 PROCESS_DEAD_AFTER_NS = 2000 * MS
 CONNECTIONS_PER_EXCHANGE = 2  # the number that is kept open
@@ -98,8 +98,8 @@
         self.is_closed = False
         self.connections: list[ExchangeConnection] = []  # the open ones, oldest first
         self.dial_task: asyncio.Task[None] | None = None
-        self.redial_timer: asyncio.TimerHandle | None = None
-        self.redial_delay_ns = INITIAL_REDIAL_DELAY_NS
+        self.reconnect_timer: asyncio.TimerHandle | None = None
+        self.reconnect_delay_ns = INITIAL_RECONNECT_DELAY_NS
         self.connected_at_ns = 0  # when the latest connection was established
         self.lost_at_ns = 0  # when the last of the connections was lost, until the next is open; else 0
         self.last_sweep_at_ns = 0
@@ -134,22 +134,24 @@
             or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE
         ):
             return
-        if self.redial_timer is not None:
-            self.redial_timer.cancel()
-            self.redial_timer = None
+        if self.reconnect_timer is not None:
+            self.reconnect_timer.cancel()
+            self.reconnect_timer = None
         until_ns = time.monotonic_ns() + self.dial_timeout_ns
         self.dial_task = asyncio.get_running_loop().create_task(self.connect(until_ns))
 
-    def schedule_redial(self) -> None:
+    def schedule_reconnect(self) -> None:
         """Schedules the next dial after the current delay, and doubles the delay."""
-        if self.is_closed or self.redial_timer is not None:
+        if self.is_closed or self.reconnect_timer is not None:
             return
         max_delay_ns = (
-            MAX_REDIAL_DELAY_WITH_CALLS_NS if self.liveness.has_standing_calls() else MAX_REDIAL_DELAY_NS
+            MAX_RECONNECT_DELAY_WITH_CALLS_NS
+            if self.liveness.has_standing_calls()
+            else MAX_RECONNECT_DELAY_NS
         )
-        delay_ns = min(self.redial_delay_ns, max_delay_ns)
-        self.redial_delay_ns = min(2 * self.redial_delay_ns, MAX_REDIAL_DELAY_NS)
-        self.redial_timer = asyncio.get_running_loop().call_later(delay_ns / 1e9, self.dial)
+        delay_ns = min(self.reconnect_delay_ns, max_delay_ns)
+        self.reconnect_delay_ns = min(2 * self.reconnect_delay_ns, MAX_RECONNECT_DELAY_NS)
+        self.reconnect_timer = asyncio.get_running_loop().call_later(delay_ns / 1e9, self.dial)
 
     async def connect(self, until_ns: int) -> None:
         """Dials once; gives up at `until_ns` on the monotonic clock."""
@@ -212,7 +214,7 @@
             # The process has died, so the exchange will never release its calls: the controller has to.
             self.lost_at_ns = 0
             self.handler.exchange_process_died(self)
-        self.schedule_redial()
+        self.schedule_reconnect()
 
     def record_refusal(self, now_ns: int) -> bool:
         """Whether a refused dial is evidence that the process behind an open connection is alive."""
@@ -258,11 +260,11 @@
 
         An exchange that accepts connections and drops them at once is thus not dialled without pause.
         """
-        if now_ns - self.connected_at_ns > MAX_REDIAL_DELAY_NS:
-            self.redial_delay_ns = INITIAL_REDIAL_DELAY_NS
+        if now_ns - self.connected_at_ns > MAX_RECONNECT_DELAY_NS:
+            self.reconnect_delay_ns = INITIAL_RECONNECT_DELAY_NS
             self.dial()
         else:
-            self.schedule_redial()
+            self.schedule_reconnect()
 
     def message_received(self, connection: ExchangeConnection) -> None:
         """Takes a received message as evidence that the process is alive and the exchange not silent."""
@@ -339,7 +341,7 @@
             now_ns - max(self.last_received_at_ns, self.refusal_evidence_at_ns, self.connected_at_ns)
             > MAX_IDLE_NS
         )
-        if self.connections and (is_idle or are_all_unresponsive) and self.redial_timer is None:
+        if self.connections and (is_idle or are_all_unresponsive) and self.reconnect_timer is None:
             self.dial()
         elif len(self.connections) > CONNECTIONS_PER_EXCHANGE:
             self.close_spare_connection()
@@ -437,8 +439,8 @@
     def close_gracefully(self) -> None:
         """Stops dials and closes the connections once their output has been sent, as the program ends."""
         self.is_closed = True
-        if self.redial_timer is not None:
-            self.redial_timer.cancel()
+        if self.reconnect_timer is not None:
+            self.reconnect_timer.cancel()
         if self.dial_task is not None:
             self.dial_task.cancel()
         for connection in list(self.connections):
@@ -471,7 +473,10 @@
         )
 
     def log_silence(self, now_ns: int, unresponsive_count: int) -> None:
-        """Logs once that an exchange has become silent; `message_received` logs when it no longer is."""
+        """Logs once that an exchange has become silent; `message_received` logs when it no longer is.
+
+        Without an unresponsive connection, that is once a dial after `MAX_IDLE_NS` should have had an effect.
+        """
         silent_ns = (
             now_ns - max(self.last_received_at_ns, self.refusal_evidence_at_ns)
             if self.last_received_at_ns
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -207,7 +207,7 @@
         await sweep_until(pool, lambda: len(pool.connections) > CONNECTIONS_PER_EXCHANGE)
         pool.connected_at_ns = 0  # long ago
         await sweep_until(pool, lambda: len(pool.connections) == CONNECTIONS_PER_EXCHANGE)
-        assert pool.dial_task is None and pool.redial_timer is None
+        assert pool.dial_task is None and pool.reconnect_timer is None
 
     run_with_pool(exchange.address, scenario)
 
