--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -17,7 +17,7 @@
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT, ExchangePool
 from arrowkeel.net.metrics import ConnectionLoss
-from tests.peers import CALL, OTHER, Exchange, Listener, Peer, config_of
+from tests.peers import CALL, OTHER, Exchange, Listener, Peer, make_config
 
 
 class RecordedEvents:
@@ -69,7 +69,7 @@
     async def run() -> None:
         host, _, port = address.rpartition(":")
         events = RecordedEvents()
-        pool = ExchangePool("x", Address(host, int(port)), events, config_of())
+        pool = ExchangePool("x", Address(host, int(port)), events, make_config())
         try:
             await asyncio.wait_for(story(pool, events), 20)
         finally:
@@ -123,10 +123,12 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [
+            await asyncio.to_thread(far.opened_connections.get, timeout=20) for _ in range(CONNECTIONS_KEPT)
+        ]
         far.listener.socket.shutdown(socket.SHUT_RDWR)
         far.listener.socket.close()
-        far.drop(*lines, reset=end == "reset")
+        far.disconnect(*lines, reset=end == "reset")
         while await events.told.get() != ("died",):
             pass
 
@@ -139,7 +141,9 @@
 
     async def story(pool: ExchangePool, events: RecordedEvents) -> None:
         pool.dial()
-        lines = [await asyncio.to_thread(far.opened.get, timeout=20) for _ in range(CONNECTIONS_KEPT)]
+        lines = [
+            await asyncio.to_thread(far.opened_connections.get, timeout=20) for _ in range(CONNECTIONS_KEPT)
+        ]
         for line in lines:
             line.send(MessageType.GROUP_STATE, "0" * 16, {Parameter.REPORT: "idle:7;circuits:60"})
             line.release(OTHER, 16)
@@ -177,7 +181,7 @@
         pool.release("f" * 16, 16)
         came: list[tuple[int, str]] = []
         while not came or came[-1] != (MessageType.RELEASE, "f" * 16):
-            _, message = await asyncio.to_thread(far.came.get, timeout=20)
+            _, message = await asyncio.to_thread(far.received.get, timeout=20)
             came.append((message.type, message.call))
         assert came.count((MessageType.RELEASE, CALL)) == 1 and (MessageType.RELEASE, third) in came
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -10,7 +10,7 @@
 import pytest
 
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
-from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
+from tests.peers import CALL, OTHER, TIMEOUT_S, Peer, Program, running_program
 
 TAKEN_S = 0.7  # set-ups that come so soon after SIGTERM are taken as before
 KILL_S = 3.7  # SIGKILL may come so soon after SIGTERM
@@ -19,18 +19,18 @@
 
 @pytest.fixture
 def program(tmp_path: Path) -> Iterator[Program]:
-    with running(tmp_path) as program:
+    with running_program(tmp_path) as program:
         yield program
 
 
 def terminate(program: Program) -> float:
     program.process.send_signal(signal.SIGTERM)
-    program.logged("stopping")
+    program.wait_for_log("stopping")
     return time.monotonic()
 
 
 def test_set_ups_that_come_late_are_refused_at_once_with_advice(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     began = terminate(program)
@@ -41,35 +41,35 @@
     assert refusal.cause() == ReleaseCause.CONGESTION and refusal.integer(Parameter.REDIAL_AFTER) == 2000
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER)
-    assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
+    assert caller.receive() is None and program.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - began < KILL_S
 
 
 def test_a_call_that_hangs_has_its_answer_before_the_kill_may_come(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     began = terminate(program)
     assert caller.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
     assert program.exchange.expect(MessageType.RELEASE).cause() == ReleaseCause.NORMAL
-    assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
+    assert caller.receive() is None and program.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - began < KILL_S
 
 
 def test_idle_connections_are_closed_and_a_second_signal_changes_nothing(program: Program) -> None:
-    idle = [program.caller() for _ in range(3)]
+    idle = [program.connect_caller() for _ in range(3)]
     began = terminate(program)
     program.process.send_signal(signal.SIGHUP)
     program.process.send_signal(signal.SIGTERM)
     for caller in idle:
         assert caller.receive() is None
-    assert program.process.wait(PATIENCE_S) == 0
+    assert program.process.wait(TIMEOUT_S) == 0
     assert TAKEN_S < time.monotonic() - began < TAKEN_S + 1.0
 
 
 def test_a_set_up_that_is_written_across_the_stop_is_answered(program: Program) -> None:
-    caller = program.caller()
-    program.standing(caller)
+    caller = program.connect_caller()
+    program.establish_call(caller)
     message = encode(
         MessageType.SET_UP,
         OTHER,
@@ -86,7 +86,7 @@
         caller.socket.sendall(message[at : at + 20])
         time.sleep(1.5 * 20 / len(message))
     assert caller.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.CONGESTION
-    assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
+    assert caller.receive() is None and program.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - began < KILL_S
 
 
@@ -94,9 +94,9 @@
 def test_a_release_that_crosses_the_end_of_a_callers_connection_is_told_on_another(
     program: Program, end: str
 ) -> None:
-    first, second = program.caller(), program.caller()
-    program.standing(first)
-    program.standing(second, THIRD)
+    first, second = program.connect_caller(), program.connect_caller()
+    program.establish_call(first)
+    program.establish_call(second, THIRD)
     program.process.send_signal(signal.SIGSTOP)  # so that both are read in one pass of the loop
     if end == "reset":
         first.reset()
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -15,17 +15,28 @@
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import Clock, read_config
 from arrowkeel.net.service import Service
-from tests.peers import CALL, OTHER, SETTINGS, Exchange, Listener, Peer, Program, event, instance, running
+from tests.peers import (
+    CALL,
+    OTHER,
+    SETTINGS,
+    Exchange,
+    Listener,
+    Peer,
+    Program,
+    change_event,
+    instance_entry,
+    running_program,
+)
 
 
 @pytest.fixture
 def program(tmp_path: Path) -> Iterator[Program]:
-    with running(tmp_path) as program:
+    with running_program(tmp_path) as program:
         yield program
 
 
 def test_a_call_stands_and_ends_and_what_it_carries_is_unchanged(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up(patience_ms=60_000)
     sent = program.exchange.expect(MessageType.SET_UP)
     assert (sent.text(Parameter.CLASS), sent.text(Parameter.NUMBER)) == ("voice", "7f3a9c21e0b4d655")
@@ -38,22 +49,22 @@
     program.exchange.release(CALL, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 16
     program.exchange.release(CALL, 16)  # told again, as on a next connection: not passed again
-    program.standing(caller, OTHER)
+    program.establish_call(caller, OTHER)
 
 
 @pytest.mark.parametrize(("dest", "kind"), [(9, "voice"), (1, "no such class")])
 def test_an_unknown_class_or_destination_is_refused_at_once_with_advice(
     program: Program, dest: int, kind: str
 ) -> None:
-    caller = program.caller()
-    caller.set_up(dest=dest, kind=kind)
+    caller = program.connect_caller()
+    caller.set_up(destination=dest, class_name=kind)
     refusal = caller.expect(MessageType.RELEASE)
     assert refusal.cause() in (34, 42, 102) and refusal.integer(Parameter.REDIAL_AFTER) == 2000
-    program.standing(caller, OTHER)
+    program.establish_call(caller, OTHER)
 
 
 def test_silence_is_given_up_at_the_deadline_and_the_caller_told(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up(patience_ms=1000)
     program.exchange.expect(MessageType.SET_UP)
     assert program.exchange.expect(MessageType.RELEASE).cause() == ReleaseCause.NORMAL
@@ -61,7 +72,7 @@
 
 
 def test_a_caller_that_gives_up_before_the_answer_frees_the_exchange(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     caller.release(CALL, 16)
@@ -69,18 +80,18 @@
     program.exchange.send(
         MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"crossed"}
     )  # owed to nobody any more
-    program.standing(caller, OTHER)
+    program.establish_call(caller, OTHER)
 
 
 def test_a_malformed_message_closes_its_connection_and_ends_its_calls_only(program: Program) -> None:
-    bad, good = program.caller(), program.caller()
+    bad, good = program.connect_caller(), program.connect_caller()
     bad.set_up()
     program.exchange.expect(MessageType.SET_UP)
     bad.socket.sendall(b"\x00\x03abc")
     assert bad.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
     assert bad.receive() is None
     assert program.exchange.expect(MessageType.RELEASE).cause() == 16
-    program.standing(good, OTHER)
+    program.establish_call(good, OTHER)
 
 
 BAD_SET_UPS: dict[str, dict[Parameter, bytes | str | None]] = {
@@ -98,7 +109,7 @@
     program: Program, bad: str
 ) -> None:
     """Guards the exchanges too: they close on what they cannot read, whatever else is open there."""
-    caller, third = program.caller(), "0" * 16 if bad == "no id" else "00000000000000c3"
+    caller, third = program.connect_caller(), "0" * 16 if bad == "no id" else "00000000000000c3"
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     if bad == "cut off":
@@ -113,7 +124,7 @@
 
 
 def test_two_set_ups_under_one_id_never_stand_and_another_callers_id_is_left_alone(program: Program) -> None:
-    caller, bad = program.caller(), program.caller()
+    caller, bad = program.connect_caller(), program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     bad.set_up()  # the id of a call that is open on another connection
@@ -129,8 +140,8 @@
 def test_a_connection_that_says_nothing_or_half_a_message_is_closed_in_time(
     program: Program, sent: bytes
 ) -> None:
-    caller, bad = program.caller(), program.caller()
-    program.standing(caller)
+    caller, bad = program.connect_caller(), program.connect_caller()
+    program.establish_call(caller)
     bad.socket.sendall(sent)
     began = time.monotonic()
     assert bad.receive() is None and time.monotonic() - began < 3
@@ -140,7 +151,7 @@
 
 def test_a_set_up_that_takes_two_seconds_to_write_is_taken(program: Program) -> None:
     """On crowded days some usual callers write theirs so slowly, each on a fresh connection."""
-    caller = program.caller()
+    caller = program.connect_caller()
     message = encode(
         MessageType.SET_UP,
         CALL,
@@ -161,13 +172,13 @@
 def test_at_the_share_of_descriptors_an_idle_connection_goes_and_a_callers_newest_stays(
     tmp_path: Path,
 ) -> None:
-    with running(tmp_path, limits={"cores": 1.0, "memory_mb": 64, "sockets": 32}) as program:
-        usual = program.caller()
+    with running_program(tmp_path, limits={"cores": 1.0, "memory_mb": 64, "sockets": 32}) as program:
+        usual = program.connect_caller()
         usual.set_up()
         program.exchange.expect(MessageType.SET_UP)
-        idle = [program.caller() for _ in range(30)]  # more than the program may hold
-        newest = program.caller()
-        program.standing(newest, OTHER)
+        idle = [program.connect_caller() for _ in range(30)]  # more than the program may hold
+        newest = program.connect_caller()
+        program.establish_call(newest, OTHER)
         assert idle[0].receive() is None
         program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
         usual.expect(MessageType.ANSWER)
@@ -176,18 +187,18 @@
 def test_a_call_taken_back_before_it_was_looked_at_reaches_neither_module_nor_exchange(
     program: Program,
 ) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     program.process.send_signal(signal.SIGSTOP)  # so that both are read at once
     caller.set_up()
     caller.release(CALL, 16)
     program.process.send_signal(signal.SIGCONT)
-    caller.tested()
-    program.standing(caller, OTHER)  # the first that the exchange hears of
+    caller.wait_until_processed()
+    program.establish_call(caller, OTHER)  # the first that the exchange hears of
 
 
 def test_a_flood_of_bad_set_ups_is_answered_ended_and_logged_once(program: Program) -> None:
     for _ in range(3):
-        bad = program.caller()
+        bad = program.connect_caller()
         for _ in range(BAD_SET_UPS_LIMIT + 1):
             bad.set_up(changes={Parameter.DESCRIPTION: None})
         for _ in range(BAD_SET_UPS_LIMIT + 1):
@@ -200,24 +211,24 @@
 
 def test_a_malformed_report_closes_the_exchanges_connection_and_another_comes(program: Program) -> None:
     program.exchange.send(MessageType.GROUP_STATE, CALL, {Parameter.REPORT: "idle:many"})
-    program.exchange.ended.get(timeout=20)
-    program.exchange.opened.get(timeout=20)
-    program.standing(program.caller())
+    program.exchange.closed_connections.get(timeout=20)
+    program.exchange.opened_connections.get(timeout=20)
+    program.establish_call(program.connect_caller())
 
 
 def test_releases_pass_both_ways_for_calls_of_before_the_start(program: Program) -> None:
     program.exchange.release(CALL, 41)  # no caller is connected: kept until one is
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.release(OTHER, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 41
     assert program.exchange.expect(MessageType.RELEASE, OTHER).cause() == 16
 
 
 def test_a_standing_call_outlives_its_connections(program: Program) -> None:
-    first = program.caller()
-    program.standing(first)
+    first = program.connect_caller()
+    program.establish_call(first)
     first.socket.close()
-    second = program.caller()
+    second = program.connect_caller()
     second.release(OTHER, 16)
     program.exchange.expect(MessageType.RELEASE, OTHER)  # by now the first one's end has been read as well
     program.exchange.release(CALL, 16)
@@ -225,29 +236,29 @@
 
 
 def test_a_release_goes_to_a_caller_that_calls_rather_than_to_a_silent_one(program: Program) -> None:
-    silent, first, usual = program.caller(), program.caller(), program.caller()
-    program.standing(first)
-    program.standing(usual, OTHER)
+    silent, first, usual = program.connect_caller(), program.connect_caller(), program.connect_caller()
+    program.establish_call(first)
+    program.establish_call(usual, OTHER)
     first.socket.close()
-    silent.tested()  # by now the first one's end has been read as well
+    silent.wait_until_processed()  # by now the first one's end has been read as well
     program.exchange.release(CALL, 16)
     usual.expect(MessageType.RELEASE)
 
 
 def test_what_a_gone_exchange_cut_is_released_to_its_caller(program: Program) -> None:
-    caller = program.caller()
-    program.standing(caller)
-    gone = {**instance("far", 1, program.exchange.address), "lifecycle": "removed"}
-    program.tell(event(2, gone))
+    caller = program.connect_caller()
+    program.establish_call(caller)
+    gone = {**instance_entry("far", 1, program.exchange.address), "lifecycle": "removed"}
+    program.publish(change_event(2, gone))
     assert caller.expect(MessageType.RELEASE).cause() == 41
-    assert program.exchange.ended.get(timeout=20)
+    assert program.exchange.closed_connections.get(timeout=20)
 
 
 def test_a_lost_connection_ends_its_set_ups_and_is_opened_again(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
-    program.exchange.drop(program.exchange.line_of[CALL], reset=True)
+    program.exchange.disconnect(program.exchange.connection_of[CALL], reset=True)
     program.exchange.expect(MessageType.RELEASE)  # in case it stood, and the answer was lost
     program.exchange.expect(
         MessageType.SET_UP
@@ -258,16 +269,16 @@
 
 def test_a_mute_connection_is_replaced_and_its_calls_and_releases_saved(program: Program) -> None:
     """A connection may say nothing more and stay open: its set-ups would time out, its releases be lost."""
-    caller, exchange = program.caller(), program.exchange
-    program.standing(caller)
-    exchange.mute = exchange.line_of[CALL]
+    caller, exchange = program.connect_caller(), program.exchange
+    program.establish_call(caller)
+    exchange.unresponsive = exchange.connection_of[CALL]
     caller.set_up(OTHER)
     caller.set_up("00000000000000c3")  # the other connection carries one of the two
-    sent = [exchange.came.get(timeout=20) for _ in range(2)]
-    assert {line for line, _ in sent} == set(exchange.lines)
-    (lost,) = [message.call for line, message in sent if line is exchange.mute]
-    assert exchange.ended.get(timeout=20) is exchange.mute
-    exchange.opened.get(timeout=20)
+    sent = [exchange.received.get(timeout=20) for _ in range(2)]
+    assert {line for line, _ in sent} == set(exchange.connections)
+    (lost,) = [message.call for line, message in sent if line is exchange.unresponsive]
+    assert exchange.closed_connections.get(timeout=20) is exchange.unresponsive
+    exchange.opened_connections.get(timeout=20)
     exchange.expect(MessageType.RELEASE, lost)
     exchange.expect(MessageType.SET_UP, lost)
     exchange.send(MessageType.ANSWER, lost, {Parameter.DESCRIPTION: b"answer"})
@@ -277,10 +288,10 @@
 
 
 def test_a_spoilt_answer_ends_the_set_ups_of_its_connection_only(program: Program) -> None:
-    caller, exchange = program.caller(), program.exchange
+    caller, exchange = program.connect_caller(), program.exchange
     caller.set_up()
     caller.set_up(OTHER)
-    (spoilt, first), (good, second) = (exchange.came.get(timeout=20) for _ in range(2))
+    (spoilt, first), (good, second) = (exchange.received.get(timeout=20) for _ in range(2))
     assert spoilt is not good
     spoilt.socket.sendall(b"\xff" * 100)
     exchange.expect(MessageType.RELEASE, first.call)
@@ -293,38 +304,42 @@
 
 def test_the_change_log_is_followed_in_order_and_taken_up_where_it_broke(program: Program) -> None:
     near = Exchange()
-    program.tell({"seq": 1}, event(1, instance("far", 1, "127.0.0.1:1", "removed")))  # a duplicate
-    program.tell(event(2, instance("near", 2, near.address)))
-    near.opened.get(timeout=20)
-    program.news.socket.sendall(b"{not json\n")
-    program.logged("malformed change-log line")
-    program.news.socket = program.changelog.accept()
-    assert program.news.socket.recv(100) == b"since 2\n"
-    program.tell({"seq": 2}, event(4, instance("near", 2, near.address, "removed")))  # 3 is missing
-    program.logged("malformed change-log line")
-    again = program.changelog.accept()
+    program.publish(
+        {"seq": 1}, change_event(1, instance_entry("far", 1, "127.0.0.1:1", "removed"))
+    )  # a duplicate
+    program.publish(change_event(2, instance_entry("near", 2, near.address)))
+    near.opened_connections.get(timeout=20)
+    program.changelog_connection.socket.sendall(b"{not json\n")
+    program.wait_for_log("malformed change-log line")
+    program.changelog_connection.socket = program.changelog_listener.accept()
+    assert program.changelog_connection.socket.recv(100) == b"since 2\n"
+    program.publish(
+        {"seq": 2}, change_event(4, instance_entry("near", 2, near.address, "removed"))
+    )  # 3 is missing
+    program.wait_for_log("malformed change-log line")
+    again = program.changelog_listener.accept()
     assert again.recv(100) == b"since 2\n"
-    program.caller().set_up(dest=2)
+    program.connect_caller().set_up(destination=2)
     near.expect(MessageType.SET_UP)
 
 
 def test_a_change_log_that_answers_slowly_is_not_hung_up_on(program: Program) -> None:
     near = Exchange()
-    second = Peer(program.changelog.accept())  # once the first has said nothing for 2.2 s
+    second = Peer(program.changelog_listener.accept())  # once the first has said nothing for 2.2 s
     assert second.socket.recv(100) == b"since 1\n"
-    program.tell(event(2, instance("near", 2, near.address)))  # on the first
-    near.opened.get(timeout=20)
+    program.publish(change_event(2, instance_entry("near", 2, near.address)))  # on the first
+    near.opened_connections.get(timeout=20)
     assert second.receive() is None
-    program.tell(event(3, instance("near", 2, near.address, "removed")))
-    near.ended.get(timeout=20)
+    program.publish(change_event(3, instance_entry("near", 2, near.address, "removed")))
+    near.closed_connections.get(timeout=20)
 
 
 def test_sigterm_lets_open_calls_finish_and_takes_more_on_open_connections(program: Program) -> None:
-    caller, late = program.caller(), program.caller()
+    caller, late = program.connect_caller(), program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     program.process.send_signal(signal.SIGTERM)
-    program.logged("stopping")
+    program.wait_for_log("stopping")
     late.set_up(OTHER)
     program.exchange.expect(MessageType.SET_UP, OTHER)
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"one"})
@@ -335,26 +350,26 @@
 
 
 def test_a_new_configuration_moves_the_change_log_and_a_bad_one_changes_nothing(program: Program) -> None:
-    caller, moved, near = program.caller(), Listener(), Exchange()
-    program.standing(caller)
+    caller, moved, near = program.connect_caller(), Listener(), Exchange()
+    program.establish_call(caller)
     program.config["changelog"] = moved.address
     program.path.write_text(json.dumps(program.config))
     program.process.send_signal(signal.SIGHUP)
-    program.news.socket = moved.accept()
-    assert program.news.socket.recv(100) == b"since 1\n"
-    program.tell(event(2, instance("near", 2, near.address)))
-    near.opened.get(timeout=20)
+    program.changelog_connection.socket = moved.accept()
+    assert program.changelog_connection.socket.recv(100) == b"since 1\n"
+    program.publish(change_event(2, instance_entry("near", 2, near.address)))
+    near.opened_connections.get(timeout=20)
     for spoilt in ('{"name":', '{"limits": []}'):
         program.path.write_text(spoilt)
         program.process.send_signal(signal.SIGHUP)
-        program.logged("configuration not taken")
-    program.tell(event(3, instance("near", 2, near.address, "removed")))
+        program.wait_for_log("configuration not taken")
+    program.publish(change_event(3, instance_entry("near", 2, near.address, "removed")))
     program.exchange.release(CALL, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 16
 
 
 def test_a_test_of_the_connection_passes(program: Program) -> None:
-    program.caller().tested()
+    program.connect_caller().wait_until_processed()
 
 
 def test_connections_are_still_taken_for_a_while_after_the_stop(tmp_path: Path) -> None:
@@ -385,7 +400,7 @@
         ({"seed": "xyz"}, "seed"),
         ({"limits": {}}, "limits.sockets"),
         ({"settings": {"permissions": {}}}, "classes"),
-        ({"known": {"seq": 1, "results": [event(1, {"cell": 1})]}}, "instanceId"),
+        ({"known": {"seq": 1, "results": [change_event(1, {"cell": 1})]}}, "instanceId"),
     ],
 )
 def test_a_bad_configuration_is_named_in_one_sentence(
@@ -395,7 +410,7 @@
     program.config.update(changes)
     for name in ("listen", "operator"):
         if changes.get(name) == "taken":
-            program.config[name] = program.changelog.address
+            program.config[name] = program.changelog_listener.address
     process = program.launch()
     said, _ = process.communicate(timeout=20)
     assert process.returncode == 2 and said.count("\n") == 1 and named in said
@@ -403,7 +418,7 @@
 
 def test_no_call_stands_for_a_caller_that_has_left(program: Program) -> None:
     """The answer and the end of the caller's connection may be read in the same pass of the loop."""
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     program.process.send_signal(signal.SIGSTOP)
@@ -411,4 +426,4 @@
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"too late"})
     program.process.send_signal(signal.SIGCONT)
     assert program.exchange.expect(MessageType.RELEASE).cause() == 16
-    program.standing(program.caller(), OTHER)
+    program.establish_call(program.connect_caller(), OTHER)
--- a/tests/test_vanished_exchange.py
+++ b/tests/test_vanished_exchange.py
@@ -10,7 +10,7 @@
 import pytest
 
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause
-from tests.peers import CALL, OTHER, Peer, Program, event, instance, running
+from tests.peers import CALL, OTHER, Peer, Program, change_event, instance_entry, running_program
 from tests.standins.fault_proxy import FaultProxy, threaded
 
 RELEASE_LIMIT_S = 8.0  # the protocol's limit from a call's end to the release towards its caller
@@ -22,8 +22,8 @@
     """The program, with a fault proxy between it and its exchange."""
     program = Program(tmp_path)
     with threaded(program.exchange.address) as network:
-        known = [event(1, instance("far", 1, network[0].address), reset=True)]
-        with running(tmp_path, program, known={"seq": 1, "results": known}):
+        known = [change_event(1, instance_entry("far", 1, network[0].address), reset=True)]
+        with running_program(tmp_path, program, known={"seq": 1, "results": known}):
             yield program, network
 
 
@@ -34,8 +34,8 @@
     program, (proxy, run) = between
     caller = two_standing(program)
     if discovery == "down":
-        program.changelog.socket.close()
-        program.news.socket.close()
+        program.changelog_listener.socket.close()
+        program.changelog_connection.socket.close()
     with program.heartbeat() if discovery == "follows" else nullcontext():
         run(proxy.cut)
         expect_both_released(caller, since=time.monotonic())
@@ -50,7 +50,7 @@
     run(proxy.cut)
     vanished = time.monotonic()
     program.exchange.state = {Parameter.REPORT: "idle:60;circuits:60;max_rate:-1"}
-    program.exchange.drop(*program.exchange.lines, reset=True)
+    program.exchange.disconnect(*program.exchange.connections, reset=True)
     time.sleep(4.0)
     run(proxy.heal)
     expect_both_released(caller, since=vanished)
@@ -65,7 +65,7 @@
     if trouble == "cut for six seconds":
         run(proxy.cut)
         time.sleep(6.0)
-        program.exchange.tell(*program.exchange.lines)  # as the circuits of the group change
+        program.exchange.send_state(*program.exchange.connections)  # as the circuits of the group change
         run(proxy.heal)
     elif trouble == "all connections reset":
         run(proxy.reset_all)
@@ -76,10 +76,10 @@
 
 
 def two_standing(program: Program) -> Peer:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.socket.settimeout(RELEASE_LIMIT_S + 1.0)
-    program.standing(caller)
-    program.standing(caller, OTHER)
+    program.establish_call(caller)
+    program.establish_call(caller, OTHER)
     return caller
 
 
