--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -103,7 +103,7 @@
         self.membership.shut()
 
     def metrics_text(self) -> str:
-        return self.metrics.text(self.gauges())
+        return self.metrics.render(self.gauges())
 
     def gauges(self) -> dict[str, int]:
         """What is held at this moment."""
--- a/arrowkeel/net/metrics.py
+++ b/arrowkeel/net/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and gauges that operators fetch, in the statsd text form.
+"""Counters of one controller, and the statsd text in which operators fetch counters and gauges.
 
-Counters start at 0 with the process. Label values come from the settings or from the enumerations below, so
-that the table is bounded whatever peers send.
+Counters start at 0 with the process. Label values come from the settings or from the enumerations used here,
+so that the number of metrics is bounded whatever peers send.
 """
 
 from __future__ import annotations
@@ -17,57 +17,69 @@
 
 
 class ReleaseReason(Enum):
-    """Why a standing call was released without a release from its exchange."""
+    """Why a standing call was released though its exchange sent no release; label of `standing_released`."""
 
     DELISTED = "delisted"  # the list of exchanges says that the exchange is gone or replaced
-    RESTARTED = "restarted"  # the list says that its process started after the call stood
-    LEASE_EXPIRED = "lease_expired"  # nothing has shown for too long that the process holding it is alive
-    REFUSING = "refusing"  # its connections were lost and new ones are refused
+    RESTARTED = "restarted"  # the list says that the exchange's process started after the call was answered
+    LEASE_EXPIRED = "lease_expired"  # for too long there was no evidence that the process holding it is alive
+    REFUSING = "refusing"  # the exchange's connections were lost and new ones are refused
 
 
 class ConnectionLoss(Enum):
-    """Why a connection to an exchange ended."""
+    """Why a connection to an exchange ended; label of `exchange_connections_lost`."""
 
     CLOSED_BY_PEER = "closed_by_peer"
     RESET = "reset"
-    UNRESPONSIVE = "mute"
+    UNRESPONSIVE = "mute"  # open, but something that was due on it did not arrive in time
     CLOSED_BY_US = "closed_by_us"
 
 
 class Metrics:
-    """Every counter of one controller; the gauges are handed in when the text is made."""
+    """The counters of one controller; the gauges are passed in when the text is rendered."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.classes = tuple(classes)
+        # Calls by class: answered, refused, and failed.
         self.passed, self.dropped, self.bad_gateway = Counter[str](), Counter[str](), Counter[str]()
-        self.upstream_tries = 0
+        self.upstream_tries = 0  # set-ups sent to exchanges
         self.attempts_ended = Counter[it.Ending]()
         self.refusals = Counter[it.RefusalReason]()
         self.standing_released = Counter[ReleaseReason]()
         self.exchange_connections_lost = Counter[ConnectionLoss]()
         self.dials_failed = 0
 
-    def text(self, gauges: Mapping[str, int]) -> str:
-        lines = [self.counter(name, value) for name, value in self.counters().items()]
+    def render(self, gauges: Mapping[str, int]) -> str:
+        """Returns one line for each counter and gauge: `controller.NAME:VALUE|c`, or `|g` for a gauge."""
+        lines = [self.render_counter(name, value) for name, value in self.counters().items()]
         lines += [f"controller.{name}:{value}|g" for name, value in gauges.items()]
         return "\n".join(lines) + "\n"
 
     def counters(self) -> dict[str, int]:
+        """Returns every counter by its metric name without the prefix, in the order of the text."""
         by_class = {"passed": self.passed, "dropped": self.dropped, "bad_gateway": self.bad_gateway}
-        counts = {f"{count}.{name}": by_class[count][name] for count in by_class for name in self.classes}
+        counts = {
+            f"{metric}.{class_name}": by_class[metric][class_name]
+            for metric in by_class
+            for class_name in self.classes
+        }
         counts["upstream_tries"] = self.upstream_tries
-        counts |= labelled("attempts_ended", it.Ending, self.attempts_ended)
-        counts |= labelled("refusals", it.RefusalReason, self.refusals)
-        counts |= labelled("standing_released", ReleaseReason, self.standing_released)
-        counts |= labelled("exchange_connections_lost", ConnectionLoss, self.exchange_connections_lost)
+        counts |= counters_by_label("attempts_ended", it.Ending, self.attempts_ended)
+        counts |= counters_by_label("refusals", it.RefusalReason, self.refusals)
+        counts |= counters_by_label("standing_released", ReleaseReason, self.standing_released)
+        counts |= counters_by_label(
+            "exchange_connections_lost", ConnectionLoss, self.exchange_connections_lost
+        )
         counts["dials_failed"] = self.dials_failed
         return counts
 
     @staticmethod
-    def counter(name: str, value: int) -> str:
+    def render_counter(name: str, value: int) -> str:
         return f"controller.{name}:{value}|c"
 
 
-def labelled(name: str, labels: type[Label], counts: Mapping[Label, int]) -> dict[str, int]:
-    """One counter for each label, also for those that were never counted."""
+def counters_by_label(name: str, labels: type[Label], counts: Mapping[Label, int]) -> dict[str, int]:
+    """Returns one counter for each label, also for those that were never counted.
+
+    A space in a label's value is written as `_` in the metric name.
+    """
     return {f"{name}.{label.value.replace(' ', '_')}": counts.get(label, 0) for label in labels}
