--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -60,7 +60,7 @@
     @staticmethod
     def worth_keeping(connection: CallerConnection) -> tuple[bool, int]:
         credit_ns = HALF_CREDIT_NS if connection.half_since_ns else 0
-        return connection.taken > 0, connection.heard_at_ns + credit_ns
+        return connection.valid_set_ups > 0, connection.last_received_at_ns + credit_ns
 
     def start_departure(self, departure: Departure) -> None:
         """Each connection goes once nothing is lost with it, until they may stay again."""
@@ -79,7 +79,7 @@
         others = (each for each in self.connections if each is not connection)
         return ConnectionUse(
             connected_at_ns=connection.connected_at_ns,
-            heard_at_ns=connection.heard_at_ns,
+            heard_at_ns=connection.last_received_at_ns,
             open_calls=len(connection.open_calls),
             standing_calls=len(connection.standing_calls),
             has_half_message=connection.half_since_ns > 0,
@@ -104,11 +104,11 @@
         Guards against a release that only a silent client gets, or the front, which tests all the while and
         calls nobody: it passes releases to none. Connections that were heard last come first.
         """
-        if connection is not None and connection.is_open and connection.release_standing(call, cause):
+        if connection is not None and connection.is_open and connection.send_standing_release(call, cause):
             return
         others = [each for each in self.connections if each.is_open and each.has_carried_calls]
-        for other in sorted(others, key=lambda each: each.heard_at_ns, reverse=True):
-            if other.release_standing(call, cause):
+        for other in sorted(others, key=lambda each: each.last_received_at_ns, reverse=True):
+            if other.send_standing_release(call, cause):
                 return
         if len(self.waiting_releases) < self.bounds.records:
             self.waiting_releases[call] = cause
--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -1,4 +1,7 @@
-"""Connections from callers: their messages to offers and releases, final answers to their messages."""
+"""Connections from callers: turns their messages into offered calls and releases, and sends the replies.
+
+Invalid set-ups are rejected here, and connections that carry nothing of use are closed in time.
+"""
 
 from __future__ import annotations
 
@@ -18,33 +21,37 @@
 )
 from arrowkeel.net.connection import MessageConnection, SentRelease, log
 
-MS = 1_000_000
-MOST_PATIENCE_MS = 3_600_000  # no caller waits an hour: a longer figure is cut to that
-TEST_PASSED = b"\x01"
-TEST_FAILED = b"\x00"
-# A caller that sends nothing of use is owed a close within 3 s: it comes at a sweep after these. Half a
-# message has longer than silence, as some callers take 2 s to write one.
-SILENT_NS, HALF_NS, LINGER_NS = 2000 * MS, 2700 * MS, 1000 * MS
-BAD_SET_UPS_LIMIT = 16  # on one connection; beyond it the connection goes once no good call is open there
+MS = 1_000_000  # nanoseconds in a millisecond
+MAX_PATIENCE_MS = 3_600_000  # no caller waits for an hour; a larger value is reduced to this
+TEST_PASSED = b"\x01"  # test result: calls are accepted
+TEST_FAILED = b"\x00"  # test result: no calls are accepted
+# A caller that sends nothing of use must be disconnected within 3 s; this happens at the next sweep after one
+# of these times. The first is how long a connection may bring no set-up. The second is how long a message may
+# stay incomplete, the first set-up included; it is longer, as some callers take 2 s to write one. The third
+# is how long an orderly close may take before the connection is aborted.
+FIRST_SET_UP_TIMEOUT_NS, INCOMPLETE_MESSAGE_TIMEOUT_NS, CLOSE_TIMEOUT_NS = 2000 * MS, 2700 * MS, 1000 * MS
+# Invalid set-ups on one connection; beyond it the connection is closed once no call is open on it.
+MAX_INVALID_SET_UPS = 16
 
 
-RELEASES_HELD = 1024  # of those that a connection may lose as its caller ends it
+# Releases remembered for one connection, in case they cross the caller's end of the connection.
+MAX_SENT_RELEASES = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A set-up as a caller sent it; the call's end is absolute from here on."""
+    """A valid set-up as a caller sent it."""
 
     call: str
     class_name: str
     number_called: str
     destination: int
-    width: int
-    via: int
-    patience_ms: int
+    circuits: int
+    sender_or_advised_tandem: int  # the sender of a transit call, else an advised tandem, or -1
+    patience_ms: int  # from the arrival of the set-up; the controller turns it into an absolute deadline
     redial: bool
     transit: bool
-    was_cut: bool
+    was_interrupted: bool
     description: bytes
 
 
@@ -54,29 +61,33 @@
     @property
     def accepts_calls(self) -> bool: ...
     def caller_connected(self, connection: CallerConnection) -> None: ...
-    def caller_recognised(self, connection: CallerConnection) -> None: ...
-    def caller_lost(self, connection: CallerConnection) -> None: ...
-    def offered(self, connection: CallerConnection, offer: Offer) -> bool: ...
-    def caller_ended(self, call: str, cause: int) -> None: ...
-    def caller_broke(self, connection: CallerConnection, call: str) -> None: ...
+    def first_call_carried(self, connection: CallerConnection) -> None: ...
+    def caller_disconnected(self, connection: CallerConnection) -> None: ...
+    def call_offered(self, connection: CallerConnection, offer: Offer) -> bool: ...
+    def end_call_for_caller(self, call: str, cause: int) -> None: ...
+    def abort_call(self, connection: CallerConnection, call: str) -> None: ...
+
 
+def parse_offer(message: Message) -> Offer:
+    """Returns the call that a set-up offers, or raises MalformedMessageError.
 
-def read_offer(message: Message) -> Offer:
-    """Guards the exchanges, which close on what they can't read whatever else is open there."""
+    Prevents an invalid set-up from being passed on: an exchange closes a connection on which it receives
+    something malformed, whatever other calls are open there.
+    """
     if message.parameter_error:
         raise MalformedMessageError(message.parameter_error)
     if message.call == NO_CALL_ID:
-        raise MalformedMessageError("a set-up of no call")
-    figures = message.named_values(Parameter.ROUTING)
+        raise MalformedMessageError("a set-up without a call identifier")
+    routing = message.named_values(Parameter.ROUTING)
 
-    def figure(name: str, default: int | None = None) -> int:
-        if name not in figures and default is not None:
+    def routing_value(name: str, default: int | None = None) -> int:
+        if name not in routing and default is not None:
             return default
-        return parse_integer(figures.get(name, ""), f"parameter {Parameter.ROUTING.value}: {name}")
+        return parse_integer(routing.get(name, ""), f"parameter {Parameter.ROUTING.value}: {name}")
 
-    width = figure("width", 1)
-    if width < 1:
-        raise MalformedMessageError(f"parameter {Parameter.ROUTING.value}: width: {width} circuits")
+    circuits = routing_value("width", 1)
+    if circuits < 1:
+        raise MalformedMessageError(f"parameter {Parameter.ROUTING.value}: width: {circuits} circuits")
     patience_ms = message.integer(Parameter.PATIENCE)
     if patience_ms < 1:
         raise MalformedMessageError(f"parameter {Parameter.PATIENCE.value}: {patience_ms} milliseconds")
@@ -87,132 +98,149 @@
         call=message.call,
         class_name=message.text(Parameter.CLASS),
         number_called=number,
-        destination=figure("dest"),
-        width=width,
-        via=figure("via", -1),
-        patience_ms=min(patience_ms, MOST_PATIENCE_MS),
+        destination=routing_value("dest"),
+        circuits=circuits,
+        sender_or_advised_tandem=routing_value("via", -1),
+        patience_ms=min(patience_ms, MAX_PATIENCE_MS),
         redial=message.text(Parameter.REDIAL, "0") == "1",
-        transit=figure("transit", 0) == 1,
-        was_cut=figure("again", 0) == 1,
+        transit=routing_value("transit", 0) == 1,
+        was_interrupted=routing_value("again", 0) == 1,
         description=description,
     )
 
 
 class CallerConnection(MessageConnection):
-    """One connection from callers; answers go back on the connection that asked."""
+    """One connection from callers; the reply to a set-up goes out on the connection that brought it."""
 
     def __init__(self, handler: CallerHandler, unsent_limit: int) -> None:
         super().__init__("caller", unsent_limit)
         self.handler = handler
         self.open_calls: set[str] = set()  # set up here, without their final answer yet
-        self.standing_calls: set[str] = set()  # set up here and not over
-        self.releases: dict[str, SentRelease] = {}  # of standing calls, the latest written here
-        self.taken = self.bad = 0  # set-ups that were offered on, that were not
-        self.has_carried_calls = False  # as callers' do; those that only test whether we are there do not
-        self.heard_at_ns = self.connected_at_ns = time.monotonic_ns()
+        self.standing_calls: set[str] = set()  # set up here, answered and not over
+        self.sent_releases: dict[str, SentRelease] = {}  # the latest releases of answered calls sent here
+        # Set-ups that were accepted, or refused for no fault of their own; and those that were not valid.
+        self.valid_set_ups = self.invalid_set_ups = 0
+        # Connections that only test whether the controller accepts calls never carry one.
+        self.has_carried_calls = False
+        self.last_received_at_ns = self.connected_at_ns = time.monotonic_ns()
 
     def connection_made(self, transport: object) -> None:
         super().connection_made(transport)  # type: ignore[arg-type]
         self.handler.caller_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.handler.caller_lost(self)
+        self.handler.caller_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at_ns = time.monotonic_ns()
+        self.last_received_at_ns = time.monotonic_ns()
         super().data_received(data)
 
     def take(self, message: Message) -> None:
         match message.type:
             case MessageType.SET_UP:
-                self.take_set_up(message)
+                self.handle_set_up(message)
             case _ if message.parameter_error:
                 raise MalformedMessageError(message.parameter_error)
             case MessageType.RELEASE:
-                self.handler.caller_ended(message.call, message.cause())
-                self.recognise()
+                self.handler.end_call_for_caller(message.call, message.cause())
+                self.mark_as_carrying_calls()
             case MessageType.TEST:
                 result = TEST_PASSED if self.handler.accepts_calls else TEST_FAILED
                 self.write(encode(MessageType.TEST_RESULT, message.call, {Parameter.CAUSE: result}))
             case MessageType.PROGRESS | MessageType.RELEASE_COMPLETE:
                 pass
             case _:
-                raise MalformedMessageError(f"type {message.type} is nothing a caller sends")
+                raise MalformedMessageError(f"message type {message.type} is not valid from a caller")
+
+    def handle_set_up(self, message: Message) -> None:
+        """Offers the call to the controller.
 
-    def take_set_up(self, message: Message) -> None:
-        """One that can't be used is turned down by itself: the good calls of this connection go on."""
+        An invalid set-up is rejected by itself: the other calls of this connection go on.
+        """
         try:
-            offer = read_offer(message)
+            offer = parse_offer(message)
         except MalformedMessageError as error:
-            log.warning("bad set-up turned down", reason=str(error))
+            log.warning("invalid set-up rejected", reason=str(error))
             if message.call in self.open_calls:
-                self.handler.caller_broke(self, message.call)
+                self.handler.abort_call(self, message.call)
             else:
-                self.release(message.call, ReleaseCause.INVALID_CONTENTS)
+                self.send_release(message.call, ReleaseCause.INVALID_CONTENTS)
         else:
-            if self.handler.offered(self, offer):
-                self.taken += 1
-                self.recognise()
+            if self.handler.call_offered(self, offer):
+                self.valid_set_ups += 1
+                self.mark_as_carrying_calls()
                 return
-        self.bad += 1
-        if self.bad > BAD_SET_UPS_LIMIT and not self.open_calls:
+        self.invalid_set_ups += 1
+        if self.invalid_set_ups > MAX_INVALID_SET_UPS and not self.open_calls:
             self.close()
 
-    def recognise(self) -> None:
+    def mark_as_carrying_calls(self) -> None:
+        """Notifies the controller when the connection carries a call for the first time."""
         if not self.has_carried_calls:
             self.has_carried_calls = True
-            self.handler.caller_recognised(self)
+            self.handler.first_call_carried(self)
 
     def spoilt(self, reason: str) -> None:
-        """Each call that is open here gets its final answer before the connection goes."""
+        """Closes the connection after each call that is open on it has had its final answer."""
         for call in sorted(self.open_calls):
-            self.handler.caller_broke(self, call)
+            self.handler.abort_call(self, call)
         log.warning("caller's connection closed", reason=reason)
         self.close()
 
     @property
-    def first_set_up_ns(self) -> int:
-        return HALF_NS if self.half_since_ns else SILENT_NS
+    def first_set_up_timeout_ns(self) -> int:
+        return INCOMPLETE_MESSAGE_TIMEOUT_NS if self.half_since_ns else FIRST_SET_UP_TIMEOUT_NS
 
     def sweep(self, now_ns: int) -> None:
-        """Close what says nothing, or half a message, while the caller is still owed its close."""
+        """Closes the connection if a set-up or the rest of a message is overdue; called periodically."""
         if not self.is_open:
-            if self.closing_since_ns and now_ns > self.closing_since_ns + LINGER_NS:
+            if self.closing_since_ns and now_ns > self.closing_since_ns + CLOSE_TIMEOUT_NS:
                 self.abort()
         elif self.has_unread:
-            pass  # what has come is read first: it may be the set-up that was waited for
-        elif self.half_since_ns and now_ns > self.half_since_ns + HALF_NS:
-            self.spoilt("half a message, and no more")
-        elif not self.taken and now_ns > self.connected_at_ns + self.first_set_up_ns:
-            self.spoilt("no set-up yet")
-
-    def answer(self, call: str, description: bytes) -> bool:
+            pass  # what has arrived is read first, as it may be the set-up that is overdue
+        elif self.half_since_ns and now_ns > self.half_since_ns + INCOMPLETE_MESSAGE_TIMEOUT_NS:
+            self.spoilt("message not completed in time")
+        elif not self.valid_set_ups and now_ns > self.connected_at_ns + self.first_set_up_timeout_ns:
+            self.spoilt("no valid set-up in time")
+
+    def send_answer(self, call: str, description: bytes) -> bool:
+        """Returns whether the answer was written."""
         return self.write(encode(MessageType.ANSWER, call, {Parameter.DESCRIPTION: description}))
 
-    def refuse(self, call: str, redial_after_ns: int) -> None:
+    def send_refusal(self, call: str, redial_after_ns: int) -> None:
+        """Refuses a call because of congestion, with advice when to redial unless that is 0."""
         parameters: dict[int, bytes | str] = {Parameter.CAUSE: bytes((ReleaseCause.CONGESTION,))}
         if redial_after_ns > 0:
             parameters[Parameter.REDIAL_AFTER] = str(-(-redial_after_ns // MS))
         self.write(encode(MessageType.RELEASE, call, parameters))
 
-    def fail(self, call: str) -> None:
-        self.release(call, ReleaseCause.TEMPORARY_FAILURE)
+    def send_failure(self, call: str) -> None:
+        self.send_release(call, ReleaseCause.TEMPORARY_FAILURE)
 
-    def release(self, call: str, cause: int) -> bool:
+    def send_release(self, call: str, cause: int) -> bool:
+        """Returns whether the release was written."""
         return self.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))}))
 
-    def release_standing(self, call: str, cause: int) -> bool:
-        """Whether the release of a call that stood was written; it is held in case it goes unread."""
-        if not self.release(call, cause):
+    def send_standing_release(self, call: str, cause: int) -> bool:
+        """Releases an answered call; returns whether the release was written.
+
+        The release is remembered in case the caller ends the connection without reading it.
+        """
+        if not self.send_release(call, cause):
             return False
-        self.releases.pop(call, None)
-        self.releases[call] = SentRelease(cause, time.monotonic_ns())
-        if len(self.releases) > RELEASES_HELD:
-            del self.releases[next(iter(self.releases))]
+        self.sent_releases.pop(call, None)
+        self.sent_releases[call] = SentRelease(cause, time.monotonic_ns())
+        if len(self.sent_releases) > MAX_SENT_RELEASES:
+            del self.sent_releases[next(iter(self.sent_releases))]
         return True
 
     def unread_releases(self, since_ns: int) -> dict[str, int]:
-        """The releases written since then, with their causes, where the caller has ended the connection."""
+        """Returns the releases, with their causes, that the caller may not have read when it disconnected.
+
+        These are the ones written after `since_ns`; none if the connection was closed from this side.
+        """
         if self.closing_since_ns:
-            return {}  # closed here, after all that was written had left
-        return {call: release.cause for call, release in self.releases.items() if release.sent_ns > since_ns}
+            return {}  # closed here, after everything written had been sent
+        return {
+            call: release.cause for call, release in self.sent_releases.items() if release.sent_ns > since_ns
+        }
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -94,7 +94,7 @@
             log.warning("open calls fail at the end", calls=len(open_calls), first_calls=open_calls[:8])
         for call in open_calls:
             record = self.calls.records[call]
-            self.caller_ended(call, ReleaseCause.NORMAL)
+            self.end_call_for_caller(call, ReleaseCause.NORMAL)
             self.fail(call, record)
 
     async def close(self, until_ns: int) -> None:
@@ -235,7 +235,7 @@
     def fail(self, call: str, record: CallRecord) -> None:
         log.debug("call failed", call=call, attempts=record.attempts, connection=record.connection.number)
         self.metrics.bad_gateway[record.offer.class_name] += 1
-        record.connection.fail(call)
+        record.connection.send_failure(call)
 
     def refuse(
         self, connection: CallerConnection, offer: Offer, redial_after_ns: int, reason: it.RefusalReason
@@ -244,37 +244,37 @@
         self.metrics.refusals[reason] += 1
         if offer.class_name in self.class_names:
             self.metrics.dropped[offer.class_name] += 1
-        connection.refuse(offer.call, redial_after_ns)
+        connection.send_refusal(offer.call, redial_after_ns)
 
     # From callers
 
     def caller_connected(self, connection: CallerConnection) -> None:
         self.callers.connected(connection)
 
-    def caller_recognised(self, connection: CallerConnection) -> None:
+    def first_call_carried(self, connection: CallerConnection) -> None:
         self.callers.recognised(connection)
 
-    def caller_broke(self, connection: CallerConnection, call: str) -> None:
+    def abort_call(self, connection: CallerConnection, call: str) -> None:
         """A call whose caller can't go on with it: its one final answer, and nothing stays out for it."""
         record = self.calls.records[call]
-        self.caller_ended(call, ReleaseCause.NORMAL)
+        self.end_call_for_caller(call, ReleaseCause.NORMAL)
         self.fail(call, record)
 
-    def caller_lost(self, connection: CallerConnection) -> None:
+    def caller_disconnected(self, connection: CallerConnection) -> None:
         self.callers.lost(connection)
         for call in sorted(connection.open_calls):
-            self.caller_ended(call, ReleaseCause.NORMAL)
+            self.end_call_for_caller(call, ReleaseCause.NORMAL)
 
-    def offered(self, connection: CallerConnection, offer: Offer) -> bool:
+    def call_offered(self, connection: CallerConnection, offer: Offer) -> bool:
         """Whether the call was taken, or refused for no fault of its own; it has its answer in any case."""
         call = offer.call
         if call in connection.open_calls:
             # Two set-ups under one id on one connection: no answer could tell which of them it is for.
-            self.caller_broke(connection, call)
+            self.abort_call(connection, call)
             return False
         if call in self.calls:
             # The call of that id goes on, on its own connection.
-            connection.release(call, ReleaseCause.INVALID_CONTENTS)
+            connection.send_release(call, ReleaseCause.INVALID_CONTENTS)
             return False
         reason = self.refusal_reason(offer)
         if reason is not None:
@@ -305,15 +305,15 @@
                 destination=offer.destination,
                 patience_ns=patience_ns,
                 number_called=offer.number_called,
-                width=offer.width,
-                from_or_advised=offer.via,
+                width=offer.circuits,
+                from_or_advised=offer.sender_or_advised_tandem,
                 redial=offer.redial,
                 transit=offer.transit,
-                was_cut=offer.was_cut,
+                was_cut=offer.was_interrupted,
             )
         )
 
-    def caller_ended(self, call: str, cause: int) -> None:
+    def end_call_for_caller(self, call: str, cause: int) -> None:
         """A give-up before the answer, a release after it, or a release of what stood before our start."""
         record = self.calls.get(call)
         if record is None:
@@ -380,13 +380,13 @@
         if record is None or record.pool is not pool or record.established_ns:
             return
         now = time.monotonic_ns()
-        if not record.connection.answer(call, description):
+        if not record.connection.send_answer(call, description):
             # Guards against a call that stands for nobody: its connection is closing and has not told us yet.
             pool.release(call, ReleaseCause.NORMAL)
-            self.caller_ended(call, ReleaseCause.NORMAL)
+            self.end_call_for_caller(call, ReleaseCause.NORMAL)
             return
         self.calls.establish(record, pool, now)
-        pool.hold(connection, call, record.offer.width)
+        pool.hold(connection, call, record.offer.circuits)
         log.debug("call stands", call=call, exchange=pool.exchange, connection=record.connection.number)
         self.metrics.passed[record.offer.class_name] += 1
         self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_ns))
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from arrowkeel.net.callers import BAD_SET_UPS_LIMIT
+from arrowkeel.net.callers import MAX_INVALID_SET_UPS
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
 from arrowkeel.net.config import Clock, read_config
 from arrowkeel.net.service import Service
@@ -199,9 +199,9 @@
 def test_a_flood_of_bad_set_ups_is_answered_ended_and_logged_once(program: Program) -> None:
     for _ in range(3):
         bad = program.connect_caller()
-        for _ in range(BAD_SET_UPS_LIMIT + 1):
+        for _ in range(MAX_INVALID_SET_UPS + 1):
             bad.set_up(changes={Parameter.DESCRIPTION: None})
-        for _ in range(BAD_SET_UPS_LIMIT + 1):
+        for _ in range(MAX_INVALID_SET_UPS + 1):
             bad.expect(MessageType.RELEASE)
         assert bad.receive() is None
     program.process.send_signal(signal.SIGTERM)
