--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -1,4 +1,8 @@
-"""The table of callers' connections: who may stay, and which of them carries a release."""
+"""The table of connections from callers.
+
+It bounds their number, closes them in standby and at the end of the process, and decides which of them
+carries the release of an answered call.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +14,11 @@
 from arrowkeel.net.config import MS, Bounds
 from arrowkeel.net.connection import log
 
-HALF_CREDIT_NS = 500 * MS  # half a message is worth more than silence when room has to be made
-# A release written so shortly before the caller ended its connection may not have been read there.
-UNREAD_NS = 100 * MS
+# Added to the last-received time of a connection with an incomplete message when one is to be closed to make
+# room: it is worth more than one that has sent nothing.
+INCOMPLETE_MESSAGE_CREDIT_NS = 500 * MS
+# A release written less than this before the caller ended its connection may not have been read there.
+UNREAD_RELEASE_NS = 100 * MS
 
 
 class CallerConnections:
@@ -21,61 +27,71 @@
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
         self.connections: dict[CallerConnection, None] = {}
-        self.waiting_releases: dict[str, int] = {}  # for the next caller's connection, with their causes
-        self.departure: Departure | None = None  # while connections are to go
-
-    def connected(self, connection: CallerConnection) -> None:
-        if len(self.connections) >= self.bounds.caller_connections and not self.shed():
-            log.warning("no idle connection from callers, the newest closed", open=len(self.connections))
+        self.waiting_releases: dict[str, int] = {}  # causes by call, for the next caller's connection
+        self.departure: Departure | None = None  # set while connections are to be closed
+
+    def add(self, connection: CallerConnection) -> None:
+        """Adds a new connection; at the limit an idle one is closed for it, or else the new one itself."""
+        if len(self.connections) >= self.bounds.caller_connections and not self.close_idle_connection():
+            log.warning(
+                "caller connection limit reached and none is idle, new connection closed",
+                open=len(self.connections),
+            )
             connection.abort()
             return
         self.connections[connection] = None
 
-    def recognised(self, connection: CallerConnection) -> None:
-        """It has carried a call: the releases that no caller's connection was open for go out on it."""
+    def send_waiting_releases(self, connection: CallerConnection) -> None:
+        """Sends the releases that found no connection on this one, which has carried a call."""
         waiting, self.waiting_releases = self.waiting_releases, {}
         for call, cause in waiting.items():
             self.release(call, cause, connection)
 
-    def lost(self, connection: CallerConnection) -> None:
-        """Guards releases that crossed the end of the connection: they go again, on another one."""
+    def remove(self, connection: CallerConnection) -> None:
+        """Removes a lost connection; releases that crossed its end are sent again on another one."""
         self.connections.pop(connection, None)
-        for call, cause in connection.unread_releases(time.monotonic_ns() - UNREAD_NS).items():
+        for call, cause in connection.unread_releases(time.monotonic_ns() - UNREAD_RELEASE_NS).items():
             self.release(call, cause, None)
 
-    def shed(self) -> bool:
-        """Make room: the one that never sent a set-up goes first, then the one that was idle for longest.
+    def close_idle_connection(self) -> bool:
+        """Closes the least useful idle connection, to make room for a new one; returns whether there was one.
 
-        Guards usual callers, whose connection is the newest, against those that connect and say no more.
+        One that never sent a valid set-up is closed first, then the one that was idle for longest. Closing
+        the newest instead would hit callers that call, when others connect and then send nothing.
         """
         idle = [each for each in self.connections if each.is_open and not each.open_calls]
-        idle.sort(key=self.worth_keeping)
+        idle.sort(key=self.usefulness)
         connection = next((each for each in idle if not each.has_unread), None)
         if connection is None:
             return False
-        log.warning("many connections from callers, an idle one closed", open=len(self.connections))
+        log.warning("caller connection limit reached, idle connection closed", open=len(self.connections))
         connection.close()
         return True
 
     @staticmethod
-    def worth_keeping(connection: CallerConnection) -> tuple[bool, int]:
-        credit_ns = HALF_CREDIT_NS if connection.half_since_ns else 0
+    def usefulness(connection: CallerConnection) -> tuple[bool, int]:
+        """Sort key: the connection that is closed first comes first."""
+        credit_ns = INCOMPLETE_MESSAGE_CREDIT_NS if connection.half_since_ns else 0
         return connection.valid_set_ups > 0, connection.last_received_at_ns + credit_ns
 
     def start_departure(self, departure: Departure) -> None:
-        """Each connection goes once nothing is lost with it, until they may stay again."""
+        """From now on closes each connection once nothing is lost with it, until `cancel_departure`."""
         self.departure = departure
 
     def cancel_departure(self) -> None:
+        """Lets the remaining connections stay."""
         self.departure = None
 
-    def refuses(self, now_ns: int) -> bool:
+    def refuses_set_ups(self, now_ns: int) -> bool:
+        """Returns whether set-ups are refused because the connections are to be closed."""
         return self.departure is not None and self.departure.refuses(now_ns)
 
     def must_end_open_calls(self, now_ns: int) -> bool:
+        """Returns whether every open call must get its final answer now, as the process is about to end."""
         return self.departure is not None and self.departure.must_answer_all(now_ns)
 
-    def use_of(self, connection: CallerConnection) -> ConnectionUse:
+    def current_use(self, connection: CallerConnection) -> ConnectionUse:
+        """Returns what the connection carries at this moment."""
         others = (each for each in self.connections if each is not connection)
         return ConnectionUse(
             connected_at_ns=connection.connected_at_ns,
@@ -88,21 +104,28 @@
         )
 
     def sweep(self, now_ns: int) -> None:
+        """Closes connections that are overdue or are to be closed and idle; called periodically."""
         for connection in list(self.connections):
             connection.sweep(now_ns)
             if self.departure is not None and connection.is_open:
-                self.send_away(connection, self.departure, now_ns)
+                self.close_if_unused(connection, self.departure, now_ns)
 
-    def send_away(self, connection: CallerConnection, departure: Departure, now_ns: int) -> None:
-        """Guards what is on its way: what has come and is not read yet is lost with the connection."""
-        if departure.may_close(self.use_of(connection), now_ns) and not connection.has_unread:
+    def close_if_unused(self, connection: CallerConnection, departure: Departure, now_ns: int) -> None:
+        """Closes a connection that may be closed, unless data has arrived that is not read yet.
+
+        Such data would be lost with the connection.
+        """
+        if departure.may_close(self.current_use(connection), now_ns) and not connection.has_unread:
             connection.close()
 
     def release(self, call: str, cause: int, connection: CallerConnection | None) -> None:
-        """On the connection that asked while it is open, else on another caller's, else on the next one.
+        """Sends the release of an answered call on the given connection, another one or the next one.
 
-        Guards against a release that only a silent client gets, or the front, which tests all the while and
-        calls nobody: it passes releases to none. Connections that were heard last come first.
+        `connection` is where the call was set up. If it is closed, another connection that has carried
+        calls is used, the one that received data last first; if there is none, the release waits for the
+        next one. Connections that have carried no call are left out: a client that sends nothing does not
+        act on a release, nor does the front, which only tests whether calls are accepted and passes
+        releases to nobody.
         """
         if connection is not None and connection.is_open and connection.send_standing_release(call, cause):
             return
@@ -114,7 +137,7 @@
             self.waiting_releases[call] = cause
 
     async def close(self, until_ns: int) -> None:
-        """The last answers leave before the connections close."""
+        """Closes all connections after what was written is sent, and waits for that until `until_ns`."""
         for connection in self.connections:
             connection.close()
         while self.connections and time.monotonic_ns() < until_ns:
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -249,10 +249,10 @@
     # From callers
 
     def caller_connected(self, connection: CallerConnection) -> None:
-        self.callers.connected(connection)
+        self.callers.add(connection)
 
     def first_call_carried(self, connection: CallerConnection) -> None:
-        self.callers.recognised(connection)
+        self.callers.send_waiting_releases(connection)
 
     def abort_call(self, connection: CallerConnection, call: str) -> None:
         """A call whose caller can't go on with it: its one final answer, and nothing stays out for it."""
@@ -261,7 +261,7 @@
         self.fail(call, record)
 
     def caller_disconnected(self, connection: CallerConnection) -> None:
-        self.callers.lost(connection)
+        self.callers.remove(connection)
         for call in sorted(connection.open_calls):
             self.end_call_for_caller(call, ReleaseCause.NORMAL)
 
@@ -290,7 +290,7 @@
         if self.calls.is_full:
             return it.RefusalReason.TABLE_FULL
         # Guards the end of a connection that is to go and is never idle.
-        return it.RefusalReason.LEAVING if self.callers.refuses(time.monotonic_ns()) else None
+        return it.RefusalReason.LEAVING if self.callers.refuses_set_ups(time.monotonic_ns()) else None
 
     def take_call(self, connection: CallerConnection, offer: Offer) -> None:
         call, patience_ns = offer.call, offer.patience_ms * MS
