--- a/arrowkeel/net/calls.py
+++ b/arrowkeel/net/calls.py
@@ -1,4 +1,4 @@
-"""The table of calls: each from its set-up until it is refused, fails or is over."""
+"""The table of calls: each call is in it from its set-up until it is refused, fails or is released."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 class CallRecord:
     """One call. All times are monotonic nanoseconds; 0 where the moment has not come."""
 
-    connection: CallerConnection  # that its set-up came on
+    connection: CallerConnection  # on which it was set up
     offer: Offer
-    deadline_ns: int
-    timer: asyncio.TimerHandle | None = None
-    attempts: int = 0
-    pool: ExchangePool | None = None  # of the attempt that is out, or where the call stands
-    sent_ns: int = 0
-    abandon_at_ns: int = 0
-    established_ns: int = 0
+    deadline_at_ns: int  # when the caller's patience ends
+    timer: asyncio.TimerHandle | None = None  # for the attempt in progress, else for the deadline
+    attempts: int = 0  # number of attempts started; an attempt's index is this minus 1
+    pool: ExchangePool | None = None  # of the attempt in progress, or where the answered call stands
+    sent_at_ns: int = 0  # start of the latest attempt
+    abandon_at_ns: int = 0  # when the latest attempt is given up
+    established_at_ns: int = 0  # when the call was answered
 
     def cancel_timer(self) -> None:
         if self.timer is not None:
@@ -31,15 +31,17 @@
 
 
 class CallTable:
-    """Open calls (no final answer yet) and standing ones, within the configured bounds."""
+    """Open calls (no final answer yet) and standing calls (answered and not over), within the bounds."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.records: dict[str, CallRecord] = {}
+        self.records: dict[str, CallRecord] = {}  # by call identifier
         self.open_count = 0
-        self.description_bytes = 0  # held for open calls
-        self.standing: dict[str, set[str]] = {}  # by exchange
-        self.ended = RecentNames(bounds.records)  # what crosses a call's end, or comes twice, is of none
+        self.description_bytes = 0  # size of the descriptions kept for open calls
+        self.standing: dict[str, set[str]] = {}  # identifiers of standing calls by exchange
+        # Calls that ended recently: a message that crosses the end of its call, or a repeated release, is not
+        # taken for one that concerns a call from before the start of this process.
+        self.ended = RecentNames(bounds.records)
 
     def __len__(self) -> int:
         return len(self.records)
@@ -56,51 +58,57 @@
 
     @property
     def is_full(self) -> bool:
+        """Whether a new call must be refused because of the number of calls or the size of descriptions."""
         return (
             len(self.records) >= self.bounds.open_calls or self.description_bytes > self.bounds.descriptions
         )
 
     def open_calls(self) -> list[str]:
-        return sorted(call for call, record in self.records.items() if not record.established_ns)
+        """Returns the identifiers of the open calls, sorted."""
+        return sorted(call for call, record in self.records.items() if not record.established_at_ns)
 
     def standing_at(self, exchange: str) -> list[str]:
+        """Returns the identifiers of the calls that stand at an exchange, sorted."""
         return sorted(self.standing.get(exchange, ()))
 
     def add(self, record: CallRecord) -> None:
+        """Adds an open call."""
         self.records[record.offer.call] = record
         record.connection.open_calls.add(record.offer.call)
         self.open_count += 1
         self.description_bytes += len(record.offer.description)
 
     def establish(self, record: CallRecord, pool: ExchangePool, now_ns: int) -> None:
-        """The call has its answer and stands at that exchange; its description is not needed any more."""
+        """Turns an open call into one that stands at that exchange; its description is dropped."""
         call = record.offer.call
-        self.leave_open(record)
+        self.remove_open(record)
         record.cancel_timer()
-        record.established_ns = now_ns
+        record.established_at_ns = now_ns
         record.offer = replace(record.offer, description=b"")
         record.connection.standing_calls.add(call)
         self.standing.setdefault(pool.exchange, set()).add(call)
 
-    def leave_open(self, record: CallRecord) -> None:
+    def remove_open(self, record: CallRecord) -> None:
+        """Stops counting a call as open, as it is answered or over."""
         record.connection.open_calls.discard(record.offer.call)
         self.open_count -= 1
         self.description_bytes -= len(record.offer.description)
 
     def end(self, call: str) -> CallRecord | None:
-        """Forget a call, whatever its state; its record, if there was one."""
+        """Removes a call, whatever its state; returns its record, if there was one."""
         record = self.records.pop(call, None)
         if record is None:
             return None
         self.ended.add(call)
         record.cancel_timer()
-        if not record.established_ns:
-            self.leave_open(record)
+        if not record.established_at_ns:
+            self.remove_open(record)
         elif record.pool is not None:
-            self.leave_standing(record, record.pool)
+            self.remove_standing(record, record.pool)
         return record
 
-    def leave_standing(self, record: CallRecord, pool: ExchangePool) -> None:
+    def remove_standing(self, record: CallRecord, pool: ExchangePool) -> None:
+        """Removes a call that is over from the standing calls and from its exchange's lease."""
         call = record.offer.call
         record.connection.standing_calls.discard(call)
         pool.liveness.ended(call)
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -143,7 +143,7 @@
         now = time.monotonic_ns()
         for place, event in enumerate(events):
             if isinstance(event, it.CallOffered) and (record := self.calls.get(event.call)):
-                events[place] = replace(event, patience_ns=max(0, record.deadline_ns - now))
+                events[place] = replace(event, patience_ns=max(0, record.deadline_at_ns - now))
         for action in self.policy.handle(now, events):
             self.carry_out(action, now)
 
@@ -189,14 +189,14 @@
         record, pool = self.calls.get(call), self.pools.get(exchange)
         if record is None or record.pool is not None:
             return
-        record.attempts, record.sent_ns = record.attempts + 1, now
-        record.abandon_at_ns = min(abandon_at_ns or record.deadline_ns, record.deadline_ns)
+        record.attempts, record.sent_at_ns = record.attempts + 1, now
+        record.abandon_at_ns = min(abandon_at_ns or record.deadline_at_ns, record.deadline_at_ns)
         if pool is None:
             self.tell(it.AttemptEnded(call, record.attempts - 1, exchange, it.Ending.NOT_SENT))
             return
         record.pool = pool
         offer = record.offer
-        if record.abandon_at_ns < record.deadline_ns:
+        if record.abandon_at_ns < record.deadline_at_ns:
             self.watch(call, record)
         pool.set_up(
             SetUpRequest(call, offer.class_name, offer.number_called, offer.description, record.abandon_at_ns)
@@ -205,30 +205,30 @@
     def watch(self, call: str, record: CallRecord) -> None:
         """One timer a call: for the attempt that is out, else for the caller's patience."""
         record.cancel_timer()
-        due_ns = record.abandon_at_ns if record.pool is not None else record.deadline_ns
+        due_ns = record.abandon_at_ns if record.pool is not None else record.deadline_at_ns
         left_ns = max(0, due_ns - time.monotonic_ns())
         record.timer = self.loop.call_later(left_ns / 1e9, self.expired, call, record)
 
     def expired(self, call: str, record: CallRecord) -> None:
         now = time.monotonic_ns()
-        if self.calls.get(call) is not record or record.established_ns:
+        if self.calls.get(call) is not record or record.established_at_ns:
             return
         if record.pool is not None and now >= record.abandon_at_ns:
             self.abandon(call, record, it.Ending.NO_ANSWER)
-        if now >= record.deadline_ns + OVERDUE_NS:
+        if now >= record.deadline_at_ns + OVERDUE_NS:
             # Guards the one final answer: the decisions have by now answered each call that they know.
             log.error("call without an answer at its end", call=call)
             self.calls.end(call)
             self.fail(call, record)
             self.tell(it.CallerLeft(call))
-        elif now >= record.deadline_ns:
+        elif now >= record.deadline_at_ns:
             record.timer = self.loop.call_later(OVERDUE_NS / 1e9, self.expired, call, record)
         else:
             self.watch(call, record)
 
     def abandon(self, call: str, record: CallRecord, ending: it.Ending) -> None:
         """Give the attempt that is out up; what had not left was never sent."""
-        if record.pool is not None and not record.established_ns:
+        if record.pool is not None and not record.established_at_ns:
             left = record.pool.give_up(call)
             self.attempt_ended(call, ending if left else it.Ending.NOT_SENT)
 
@@ -322,7 +322,7 @@
                 self.release_to_any_exchange(call, cause)
             return
         pool, attempt = record.pool, record.attempts - 1
-        if pool is not None and record.established_ns:
+        if pool is not None and record.established_at_ns:
             pool.release(call, cause)
         else:
             self.tell(it.CallerLeft(call))
@@ -345,7 +345,7 @@
         self, call: str, record: CallRecord, attempt: int, ending: it.Ending, over: bool = False
     ) -> it.AttemptEnded:
         exchange = record.pool.exchange if record.pool is not None else ""
-        delay_ns = time.monotonic_ns() - record.sent_ns
+        delay_ns = time.monotonic_ns() - record.sent_at_ns
         return it.AttemptEnded(call, attempt, exchange, ending, delay_ns, over)
 
     def attempt_ended(
@@ -357,7 +357,7 @@
         report: it.Report | None = None,
     ) -> None:
         record = self.calls.get(call)
-        if record is None or record.pool is None or record.established_ns:
+        if record is None or record.pool is None or record.established_at_ns:
             return
         outcome = self.outcome(call, record, record.attempts - 1, ending)
         self.metrics.attempts_ended[ending] += 1
@@ -377,7 +377,7 @@
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
     ) -> None:
         record = self.calls.get(call)
-        if record is None or record.pool is not pool or record.established_ns:
+        if record is None or record.pool is not pool or record.established_at_ns:
             return
         now = time.monotonic_ns()
         if not record.connection.send_answer(call, description):
@@ -389,7 +389,7 @@
         pool.hold(connection, call, record.offer.circuits)
         log.debug("call stands", call=call, exchange=pool.exchange, connection=record.connection.number)
         self.metrics.passed[record.offer.class_name] += 1
-        self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_ns))
+        self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_at_ns))
 
     def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
         """The release of a call that stands, also of one that stood before our start."""
@@ -398,7 +398,7 @@
             if call not in self.calls.ended:
                 self.calls.ended.add(call)
                 self.callers.release(call, cause, None)
-        elif record.established_ns and record.pool is pool:
+        elif record.established_at_ns and record.pool is pool:
             ending = it.Ending.COMPLETED if cause == ReleaseCause.NORMAL else it.Ending.CUT
             outcome = self.outcome(call, record, record.attempts - 1, ending, over=True)
             self.calls.end(call)
@@ -431,7 +431,7 @@
     def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None:
         """A process that is gone has cut the calls that stood before, and may have told nobody."""
         standing = self.calls.standing_at(pool.exchange)
-        cut = [call for call in standing if self.calls.records[call].established_ns < before_ns]
+        cut = [call for call in standing if self.calls.records[call].established_at_ns < before_ns]
         self.cut(pool, cut, reason)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
