--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,7 @@
-"""Scripted peers on loopback sockets round the program: they wait on what comes, never on the clock."""
+"""Scripted callers, exchange and change log on loopback sockets, and the program started between them.
+
+They wait for what they expect to receive, never for a time to pass.
+"""
 
 from __future__ import annotations
 
@@ -20,8 +23,10 @@
 from arrowkeel.net.config import Clock, Config, read_config
 from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
 
-TIMEOUT_S = 20.0  # only a failing test waits so long
+TIMEOUT_S = 20.0  # only a failing test waits this long
+# Identifiers of two calls.
 CALL, OTHER = "00000000000000a1", "00000000000000b2"
+# What the scripted exchange reports of its circuit group at first.
 GROUP_STATE = {Parameter.REPORT: "idle:40;circuits:60;max_rate:-1"}
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
 SETTINGS: dict[str, Any] = {
@@ -42,7 +47,7 @@
 
 
 class Peer:
-    """One end of a connection that speaks in messages."""
+    """One end of a connection that exchanges messages with the program."""
 
     def __init__(self, connection: socket.socket) -> None:
         self.socket = connection
@@ -50,10 +55,11 @@
         self.decoder = Decoder()
         self.messages: list[Message] = []
 
-    def send(self, kind: int, call: str = CALL, parameters: dict[Any, Any] | None = None) -> None:
-        self.socket.sendall(encode(kind, call, parameters))
+    def send(self, message_type: int, call: str = CALL, parameters: dict[Any, Any] | None = None) -> None:
+        self.socket.sendall(encode(message_type, call, parameters))
 
     def release(self, call: str, cause: int, **parameters: str) -> None:
+        """Sends a release; a keyword is the name of a Parameter in lower case."""
         extra = {Parameter[name.upper()]: value for name, value in parameters.items()}
         self.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,)), **extra})
 
@@ -65,6 +71,7 @@
         class_name: str = "voice",
         changes: dict[Parameter, bytes | str | None] | None = None,
     ) -> None:
+        """Sends a set-up; `changes` replace parameters, None leaves one out."""
         parameters: dict[Parameter, bytes | str | None] = {
             Parameter.CLASS: class_name,
             Parameter.PATIENCE: str(patience_ms),
@@ -78,7 +85,7 @@
         )
 
     def receive(self) -> Message | None:
-        """The next message, or None once the other side has closed."""
+        """Returns the next message, or None once the other side has closed the connection."""
         while not self.messages:
             try:
                 data = self.socket.recv(65536)
@@ -89,22 +96,26 @@
             self.messages += self.decoder.feed(data)
         return self.messages.pop(0)
 
-    def expect(self, kind: int, call: str = CALL) -> Message:
+    def expect(self, message_type: int, call: str = CALL) -> Message:
+        """Returns the next message, which must be of this type and call."""
         message = self.receive()
-        assert message is not None and (message.type, message.call) == (kind, call), message
+        assert message is not None and (message.type, message.call) == (message_type, call), message
         return message
 
     def wait_until_processed(self) -> None:
-        """All that was sent before on this connection has been taken once this returns."""
+        """Returns once the program has processed everything that was sent on this connection before."""
         self.send(MessageType.TEST, OTHER, {Parameter.CAUSE: b"\x00"})
         self.expect(MessageType.TEST_RESULT, OTHER)
 
     def reset(self) -> None:
+        """Closes the connection with a TCP reset."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
 
 class Listener:
+    """A listening socket on a free port of the loopback interface."""
+
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.socket.settimeout(TIMEOUT_S)
@@ -115,16 +126,19 @@
 
 
 class Exchange:
-    """A scripted exchange: takes each connection, and tells each the group's state at once and at set-ups."""
+    """A scripted exchange.
+
+    It accepts every connection, and sends the group's state on a new one and, at each set-up, on all of them.
+    """
 
     def __init__(self) -> None:
         self.listener = Listener()
         self.listener.socket.settimeout(None)
         self.address = self.listener.address
         self.connections: list[Peer] = []
-        self.connection_of: dict[str, Peer] = {}
+        self.connection_of: dict[str, Peer] = {}  # by call
         self.state = GROUP_STATE
-        self.unresponsive: Peer | None = None  # looks open and says nothing
+        self.unresponsive: Peer | None = None  # a connection that stays open and on which no state is sent
         self.opened_connections: queue.Queue[Peer] = queue.Queue()
         self.received: queue.Queue[tuple[Peer, Message]] = queue.Queue()
         self.closed_connections: queue.Queue[Peer] = queue.Queue()
@@ -133,56 +147,59 @@
     def accept(self) -> None:
         while True:
             try:
-                line = Peer(self.listener.accept())
+                connection = Peer(self.listener.accept())
             except OSError:
                 return
-            line.socket.settimeout(None)
-            self.connections.append(line)
-            self.send_state(line)
-            self.opened_connections.put(line)
-            threading.Thread(target=self.read, args=(line,), daemon=True).start()
+            connection.socket.settimeout(None)
+            self.connections.append(connection)
+            self.send_state(connection)
+            self.opened_connections.put(connection)
+            threading.Thread(target=self.read, args=(connection,), daemon=True).start()
 
     def send_state(self, *connections: Peer) -> None:
-        for line in connections:
-            if line is not self.unresponsive:
+        """Sends the group's state on these connections, apart from the unresponsive one."""
+        for connection in connections:
+            if connection is not self.unresponsive:
                 with suppress(OSError):
-                    line.send(MessageType.GROUP_STATE, "0" * 16, self.state)
+                    connection.send(MessageType.GROUP_STATE, "0" * 16, self.state)
 
-    def read(self, line: Peer) -> None:
-        while (message := line.receive()) is not None:
+    def read(self, connection: Peer) -> None:
+        while (message := connection.receive()) is not None:
             if message.type == MessageType.SET_UP:
                 self.send_state(*self.connections)
-            self.received.put((line, message))
-        self.connections.remove(line)
-        line.socket.close()
-        self.closed_connections.put(line)
-
-    def expect(self, kind: int, call: str = CALL) -> Message:
-        line, message = self.received.get(timeout=TIMEOUT_S)
-        assert (message.type, message.call) == (kind, call), message
-        self.connection_of[call] = line
+            self.received.put((connection, message))
+        self.connections.remove(connection)
+        connection.socket.close()
+        self.closed_connections.put(connection)
+
+    def expect(self, message_type: int, call: str = CALL) -> Message:
+        """Returns the next message received on any connection, which must be of this type and call."""
+        connection, message = self.received.get(timeout=TIMEOUT_S)
+        assert (message.type, message.call) == (message_type, call), message
+        self.connection_of[call] = connection
         return message
 
-    def send(self, kind: int, call: str = CALL, parameters: dict[Any, Any] | None = None) -> None:
-        """On the connection that the call came on, else on any."""
-        line = self.connection_of.get(call)
-        (line if line in self.connections and line is not None else self.connections[0]).send(
-            kind, call, parameters
-        )
+    def send(self, message_type: int, call: str = CALL, parameters: dict[Any, Any] | None = None) -> None:
+        """Sends a message on the connection on which the call was received, else on any."""
+        connection = self.connection_of.get(call)
+        (
+            connection if connection in self.connections and connection is not None else self.connections[0]
+        ).send(message_type, call, parameters)
 
     def release(self, call: str, cause: int) -> None:
         self.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))})
 
     def disconnect(self, *connections: Peer, reset: bool) -> None:
-        """End connections; the thread that reads closes them once it is told."""
-        for line in connections:
+        """Ends connections; the thread that reads each one closes it once it sees the end."""
+        for connection in connections:
             if reset:
-                line.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             with suppress(OSError):
-                line.socket.shutdown(socket.SHUT_RD)
+                connection.socket.shutdown(socket.SHUT_RD)
 
 
 def instance_entry(identity: str, cell: int, address: str, lifecycle: str = "up") -> dict[str, Any]:
+    """Returns the entry of one exchange in an event of the change log."""
     return {
         "instanceId": identity,
         "hostPort": address,
@@ -196,18 +213,19 @@
 
 
 def change_event(seq: int, *instances: dict[str, Any], reset: bool = False) -> dict[str, Any]:
+    """Returns an event of the change log; with `reset` its entries are the complete list."""
     return {"seq": seq, "fleet": {"generation": seq, "reset": reset, "instances": list(instances)}}
 
 
 def make_config(**changes: Any) -> Config:
-    """What a configuration like the program's below comes to, for a part of it alone."""
+    """Returns a configuration like that of `Program`, for tests of one part of the program."""
     raw = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "limits": LIMITS, "settings": SETTINGS}
     raw |= {"changelog": "127.0.0.1:1", "known": {"seq": 1, "results": []}, **changes}
     return read_config(json.dumps(raw), Clock.now())
 
 
 class Program:
-    """The program as it is started in service, between one exchange, a change log and callers."""
+    """The program as a process, started as in production, with one exchange, a change log and callers."""
 
     def __init__(self, folder: Path) -> None:
         self.changelog_listener, self.exchange = Listener(), Exchange()
@@ -225,23 +243,25 @@
             "settings": SETTINGS,
         }
         self.path = folder / "config.json"
-        self.listening_socket: socket.socket | None = None  # where the platform holds it
+        self.listening_socket: socket.socket | None = None  # where the platform holds it, and passes it on
 
     def launch(self, **environment: str) -> subprocess.Popen[str]:
+        """Starts a process with the configuration as it is now, and does not wait for it."""
         self.path.write_text(json.dumps(self.config))
-        held = self.listening_socket.fileno() if self.listening_socket is not None else None
-        if held is not None:
-            environment["LB_ACCEPT_FD"] = str(held)
+        descriptor = self.listening_socket.fileno() if self.listening_socket is not None else None
+        if descriptor is not None:
+            environment["LB_ACCEPT_FD"] = str(descriptor)
         return subprocess.Popen(
             [sys.executable, "-u", "-m", "arrowkeel"],
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
             env={**os.environ, "LB_CONFIG": str(self.path), **environment},
-            pass_fds=() if held is None else (held,),
+            pass_fds=() if descriptor is None else (descriptor,),
         )
 
     def start(self) -> None:
+        """Starts a process; returns once it follows the change log and is connected to the exchange."""
         self.process = self.launch()
         started = self.wait_for_log("started")
         self.listen_address, self.operator_address = (
@@ -254,19 +274,20 @@
 
     @staticmethod
     def address(line: str, name: str) -> tuple[str, int]:
+        """Returns the address in a field of a log line."""
         host, _, port = line.partition(f"{name}='")[2].partition("'")[0].rpartition(":")
         return host, int(port)
 
-    def request(self, call: str, path: str) -> tuple[int, str]:
-        """One call at the operators' door: its status and text."""
-        with socket.create_connection(self.operator_address, TIMEOUT_S) as door:
-            door.sendall(f"{call} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
-            answer = b"".join(iter(lambda: door.recv(65536), b"")).decode()
-        head, _, text = answer.partition("\r\n\r\n")
-        return int(head.split()[1]), text
+    def request(self, method: str, path: str) -> tuple[int, str]:
+        """Makes one request at the operators' interface; returns the status and the body of the response."""
+        with socket.create_connection(self.operator_address, TIMEOUT_S) as connection:
+            connection.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
+            response = b"".join(iter(lambda: connection.recv(65536), b"")).decode()
+        head, _, body = response.partition("\r\n\r\n")
+        return int(head.split()[1]), body
 
     def wait_for_log(self, text: str) -> str:
-        """The next line of the log that has this text."""
+        """Reads the log up to the next line that contains this text, and returns that line."""
         assert self.process.stdout is not None
         for line in self.process.stdout:
             if text in line:
@@ -278,14 +299,14 @@
 
     @contextmanager
     def heartbeat(self) -> Iterator[None]:
-        """The change log's line of each second, with only the last number."""
+        """Sends the change log's heartbeat, a line each second with only the last number, until the exit."""
         done = threading.Event()
 
-        def beat() -> None:
+        def send_heartbeats() -> None:
             while not done.wait(1.0):
                 self.publish({"seq": 1})
 
-        thread = threading.Thread(target=beat, daemon=True)
+        thread = threading.Thread(target=send_heartbeats, daemon=True)
         thread.start()
         try:
             yield
@@ -294,12 +315,13 @@
             thread.join()
 
     def publish(self, *lines: dict[str, Any]) -> None:
+        """Sends lines on the program's connection to the change log."""
         self.changelog_connection.socket.sendall(
             b"".join(json.dumps(line).encode() + b"\n" for line in lines)
         )
 
     def establish_call(self, caller: Peer, call: str = CALL) -> None:
-        """A call offered by that caller and answered by the exchange."""
+        """Has this caller offer a call and the exchange answer it, so that it stands."""
         caller.set_up(call)
         self.exchange.expect(MessageType.SET_UP, call)
         self.exchange.send(MessageType.ANSWER, call, {Parameter.DESCRIPTION: b"answer \x01"})
@@ -308,6 +330,7 @@
 
 @contextmanager
 def running_program(folder: Path, program: Program | None = None, **changes: Any) -> Iterator[Program]:
+    """Starts a program, with changes to its configuration, and kills it at the exit."""
     program = program or Program(folder)
     program.config.update(changes)
     try:
