--- a/tests/test_stories.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Stories over loopback sockets: the program between scripted callers, an exchange and a change log."""
+"""End-to-end tests: the program on loopback sockets with scripted callers, an exchange and a change log."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         yield program
 
 
-def test_a_call_stands_and_ends_and_what_it_carries_is_unchanged(program: Program) -> None:
+def test_a_call_is_set_up_answered_and_released_with_its_contents_unchanged(program: Program) -> None:
     caller = program.connect_caller()
     caller.set_up(patience_ms=60_000)
     sent = program.exchange.expect(MessageType.SET_UP)
@@ -48,12 +48,12 @@
     assert caller.expect(MessageType.ANSWER).parameters == {Parameter.DESCRIPTION: b"answer"}
     program.exchange.release(CALL, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 16
-    program.exchange.release(CALL, 16)  # told again, as on a next connection: not passed again
+    program.exchange.release(CALL, 16)  # repeated, as on a new connection; not passed on again
     program.establish_call(caller, OTHER)
 
 
 @pytest.mark.parametrize(("dest", "kind"), [(9, "voice"), (1, "no such class")])
-def test_an_unknown_class_or_destination_is_refused_at_once_with_advice(
+def test_an_unknown_class_or_destination_is_refused_at_once_with_redial_advice(
     program: Program, dest: int, kind: str
 ) -> None:
     caller = program.connect_caller()
@@ -63,7 +63,7 @@
     program.establish_call(caller, OTHER)
 
 
-def test_silence_is_given_up_at_the_deadline_and_the_caller_told(program: Program) -> None:
+def test_an_unanswered_set_up_is_released_at_the_deadline_and_the_call_fails(program: Program) -> None:
     caller = program.connect_caller()
     caller.set_up(patience_ms=1000)
     program.exchange.expect(MessageType.SET_UP)
@@ -71,51 +71,50 @@
     assert caller.expect(MessageType.RELEASE).cause() not in (34, 42, 102)
 
 
-def test_a_caller_that_gives_up_before_the_answer_frees_the_exchange(program: Program) -> None:
+def test_a_callers_release_before_the_answer_is_passed_to_the_exchange(program: Program) -> None:
     caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     caller.release(CALL, 16)
     assert program.exchange.expect(MessageType.RELEASE).cause() == 16
-    program.exchange.send(
-        MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"crossed"}
-    )  # owed to nobody any more
+    # This answer crosses the release: the call is over and the answer reaches nobody.
+    program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"crossed"})
     program.establish_call(caller, OTHER)
 
 
-def test_a_malformed_message_closes_its_connection_and_ends_its_calls_only(program: Program) -> None:
-    bad, good = program.connect_caller(), program.connect_caller()
-    bad.set_up()
+def test_a_malformed_message_closes_its_connection_and_fails_only_the_calls_on_it(program: Program) -> None:
+    invalid, valid = program.connect_caller(), program.connect_caller()
+    invalid.set_up()
     program.exchange.expect(MessageType.SET_UP)
-    bad.socket.sendall(b"\x00\x03abc")
-    assert bad.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
-    assert bad.receive() is None
+    invalid.socket.sendall(b"\x00\x03abc")
+    assert invalid.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
+    assert invalid.receive() is None
     assert program.exchange.expect(MessageType.RELEASE).cause() == 16
-    program.establish_call(good, OTHER)
+    program.establish_call(valid, OTHER)
 
 
-BAD_SET_UPS: dict[str, dict[Parameter, bytes | str | None]] = {
-    "no patience": {Parameter.PATIENCE: None},
-    "patience of the past": {Parameter.PATIENCE: "-5"},
-    "patience beyond number": {Parameter.PATIENCE: "9" * 23},
-    "no description": {Parameter.DESCRIPTION: None},
-    "no width": {Parameter.ROUTING: "dest:1;width:0;via:-1"},
-    "no number": {Parameter.ROUTING: "dest:nan;width:1;via:-1"},
+INVALID_SET_UPS: dict[str, dict[Parameter, bytes | str | None]] = {
+    "patience missing": {Parameter.PATIENCE: None},
+    "patience negative": {Parameter.PATIENCE: "-5"},
+    "patience too long": {Parameter.PATIENCE: "9" * 23},
+    "description missing": {Parameter.DESCRIPTION: None},
+    "width zero": {Parameter.ROUTING: "dest:1;width:0;via:-1"},
+    "destination not a number": {Parameter.ROUTING: "dest:nan;width:1;via:-1"},
 }
 
 
-@pytest.mark.parametrize("bad", [*BAD_SET_UPS, "no id", "cut off"])
-def test_a_bad_set_up_is_turned_down_and_the_good_calls_of_its_connection_go_on(
-    program: Program, bad: str
+@pytest.mark.parametrize("defect", [*INVALID_SET_UPS, "call id missing", "parameter incomplete"])
+def test_an_invalid_set_up_is_rejected_and_other_calls_of_its_connection_go_on(
+    program: Program, defect: str
 ) -> None:
-    """Guards the exchanges too: they close on what they cannot read, whatever else is open there."""
-    caller, third = program.connect_caller(), "0" * 16 if bad == "no id" else "00000000000000c3"
+    """If it were passed on, the exchange would close its connection, with all calls that are open there."""
+    caller, third = program.connect_caller(), "0" * 16 if defect == "call id missing" else "00000000000000c3"
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
-    if bad == "cut off":
+    if defect == "parameter incomplete":
         caller.socket.sendall(b"\x00\x0b\x01" + bytes.fromhex(third) + b"\x40\x00")
     else:
-        caller.set_up(third, changes=BAD_SET_UPS.get(bad))
+        caller.set_up(third, changes=INVALID_SET_UPS.get(defect))
     assert caller.expect(MessageType.RELEASE, third).cause() == ReleaseCause.INVALID_CONTENTS
     caller.set_up(OTHER)
     program.exchange.expect(MessageType.SET_UP, OTHER)
@@ -123,34 +122,34 @@
     caller.expect(MessageType.ANSWER)
 
 
-def test_two_set_ups_under_one_id_never_stand_and_another_callers_id_is_left_alone(program: Program) -> None:
-    caller, bad = program.connect_caller(), program.connect_caller()
+def test_a_call_id_that_is_in_use_is_rejected_and_the_call_on_the_other_connection_goes_on(
+    program: Program,
+) -> None:
+    caller, duplicate = program.connect_caller(), program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
-    bad.set_up()  # the id of a call that is open on another connection
-    assert bad.expect(MessageType.RELEASE).cause() == ReleaseCause.INVALID_CONTENTS
+    duplicate.set_up()  # the id of a call that is open on another connection
+    assert duplicate.expect(MessageType.RELEASE).cause() == ReleaseCause.INVALID_CONTENTS
     for _ in range(2):
-        bad.set_up(OTHER)
-    assert bad.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.TEMPORARY_FAILURE
+        duplicate.set_up(OTHER)
+    assert duplicate.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.TEMPORARY_FAILURE
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER)
 
 
 @pytest.mark.parametrize("sent", [b"", b"\x00\x40\x01"])
-def test_a_connection_that_says_nothing_or_half_a_message_is_closed_in_time(
-    program: Program, sent: bytes
-) -> None:
-    caller, bad = program.connect_caller(), program.connect_caller()
+def test_a_connection_without_a_complete_message_is_closed_in_time(program: Program, sent: bytes) -> None:
+    caller, idle = program.connect_caller(), program.connect_caller()
     program.establish_call(caller)
-    bad.socket.sendall(sent)
-    began = time.monotonic()
-    assert bad.receive() is None and time.monotonic() - began < 3
+    idle.socket.sendall(sent)
+    started = time.monotonic()
+    assert idle.receive() is None and time.monotonic() - started < 3
     program.exchange.release(CALL, 16)
     caller.expect(MessageType.RELEASE)
 
 
-def test_a_set_up_that_takes_two_seconds_to_write_is_taken(program: Program) -> None:
-    """On crowded days some usual callers write theirs so slowly, each on a fresh connection."""
+def test_a_set_up_that_takes_two_seconds_to_write_is_accepted(program: Program) -> None:
+    """Under heavy load some callers write their set-ups this slowly, each on a new connection."""
     caller = program.connect_caller()
     message = encode(
         MessageType.SET_UP,
@@ -163,178 +162,177 @@
             Parameter.DESCRIPTION: b"offer",
         },
     )
-    for at in range(0, len(message), 30):
-        caller.socket.sendall(message[at : at + 30])
+    for start in range(0, len(message), 30):
+        caller.socket.sendall(message[start : start + 30])
         time.sleep(2.2 * 30 / len(message))
     program.exchange.expect(MessageType.SET_UP)
 
 
-def test_at_the_share_of_descriptors_an_idle_connection_goes_and_a_callers_newest_stays(
+def test_at_the_connection_limit_an_idle_connection_is_closed_and_the_newest_kept(
     tmp_path: Path,
 ) -> None:
     with running_program(tmp_path, limits={"cores": 1.0, "memory_mb": 64, "sockets": 32}) as program:
-        usual = program.connect_caller()
-        usual.set_up()
+        active = program.connect_caller()
+        active.set_up()
         program.exchange.expect(MessageType.SET_UP)
-        idle = [program.connect_caller() for _ in range(30)]  # more than the program may hold
+        idle = [program.connect_caller() for _ in range(30)]  # more than the program may keep open
         newest = program.connect_caller()
         program.establish_call(newest, OTHER)
         assert idle[0].receive() is None
         program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
-        usual.expect(MessageType.ANSWER)
+        active.expect(MessageType.ANSWER)
 
 
-def test_a_call_taken_back_before_it_was_looked_at_reaches_neither_module_nor_exchange(
+def test_a_call_released_before_it_was_processed_reaches_neither_policy_nor_exchange(
     program: Program,
 ) -> None:
     caller = program.connect_caller()
-    program.process.send_signal(signal.SIGSTOP)  # so that both are read at once
+    program.process.send_signal(signal.SIGSTOP)  # so that both messages are read in one event batch
     caller.set_up()
     caller.release(CALL, 16)
     program.process.send_signal(signal.SIGCONT)
     caller.wait_until_processed()
-    program.establish_call(caller, OTHER)  # the first that the exchange hears of
+    program.establish_call(caller, OTHER)  # the first set-up that the exchange receives
 
 
-def test_a_flood_of_bad_set_ups_is_answered_ended_and_logged_once(program: Program) -> None:
+def test_a_flood_of_invalid_set_ups_is_answered_disconnected_and_logged_sparsely(program: Program) -> None:
     for _ in range(3):
-        bad = program.connect_caller()
+        invalid = program.connect_caller()
         for _ in range(MAX_INVALID_SET_UPS + 1):
-            bad.set_up(changes={Parameter.DESCRIPTION: None})
+            invalid.set_up(changes={Parameter.DESCRIPTION: None})
         for _ in range(MAX_INVALID_SET_UPS + 1):
-            bad.expect(MessageType.RELEASE)
-        assert bad.receive() is None
+            invalid.expect(MessageType.RELEASE)
+        assert invalid.receive() is None
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(20) == 0 and program.process.stdout is not None
     assert len(program.process.stdout.readlines()) < 10
 
 
-def test_a_malformed_report_closes_the_exchanges_connection_and_another_comes(program: Program) -> None:
+def test_a_malformed_report_closes_the_exchanges_connection_and_another_is_opened(program: Program) -> None:
     program.exchange.send(MessageType.GROUP_STATE, CALL, {Parameter.REPORT: "idle:many"})
     program.exchange.closed_connections.get(timeout=20)
     program.exchange.opened_connections.get(timeout=20)
     program.establish_call(program.connect_caller())
 
 
-def test_releases_pass_both_ways_for_calls_of_before_the_start(program: Program) -> None:
-    program.exchange.release(CALL, 41)  # no caller is connected: kept until one is
+def test_releases_of_calls_from_before_the_start_pass_both_ways(program: Program) -> None:
+    program.exchange.release(CALL, 41)  # no caller is connected: the release waits until one is
     caller = program.connect_caller()
     caller.release(OTHER, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 41
     assert program.exchange.expect(MessageType.RELEASE, OTHER).cause() == 16
 
 
-def test_a_standing_call_outlives_its_connections(program: Program) -> None:
+def test_a_standing_call_outlives_its_callers_connection(program: Program) -> None:
     first = program.connect_caller()
     program.establish_call(first)
     first.socket.close()
     second = program.connect_caller()
     second.release(OTHER, 16)
-    program.exchange.expect(MessageType.RELEASE, OTHER)  # by now the first one's end has been read as well
+    program.exchange.expect(MessageType.RELEASE, OTHER)  # the end of the first connection has been read too
     program.exchange.release(CALL, 16)
     assert second.expect(MessageType.RELEASE).cause() == 16
 
 
-def test_a_release_goes_to_a_caller_that_calls_rather_than_to_a_silent_one(program: Program) -> None:
-    silent, first, usual = program.connect_caller(), program.connect_caller(), program.connect_caller()
+def test_a_release_goes_to_a_connection_that_has_carried_calls(program: Program) -> None:
+    silent, first, active = program.connect_caller(), program.connect_caller(), program.connect_caller()
     program.establish_call(first)
-    program.establish_call(usual, OTHER)
+    program.establish_call(active, OTHER)
     first.socket.close()
-    silent.wait_until_processed()  # by now the first one's end has been read as well
+    silent.wait_until_processed()  # the end of the first connection has been read too
     program.exchange.release(CALL, 16)
-    usual.expect(MessageType.RELEASE)
+    active.expect(MessageType.RELEASE)
 
 
-def test_what_a_gone_exchange_cut_is_released_to_its_caller(program: Program) -> None:
+def test_the_calls_of_a_removed_exchange_are_released_to_their_caller(program: Program) -> None:
     caller = program.connect_caller()
     program.establish_call(caller)
-    gone = {**instance_entry("far", 1, program.exchange.address), "lifecycle": "removed"}
-    program.publish(change_event(2, gone))
+    removed = {**instance_entry("far", 1, program.exchange.address), "lifecycle": "removed"}
+    program.publish(change_event(2, removed))
     assert caller.expect(MessageType.RELEASE).cause() == 41
     assert program.exchange.closed_connections.get(timeout=20)
 
 
-def test_a_lost_connection_ends_its_set_ups_and_is_opened_again(program: Program) -> None:
+def test_a_lost_exchange_connection_is_reopened_and_its_set_up_attempted_again(program: Program) -> None:
     caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     program.exchange.disconnect(program.exchange.connection_of[CALL], reset=True)
-    program.exchange.expect(MessageType.RELEASE)  # in case it stood, and the answer was lost
-    program.exchange.expect(
-        MessageType.SET_UP
-    )  # the module's further attempt, once the release has been awaited
+    program.exchange.expect(MessageType.RELEASE)  # in case the call was answered and the answer was lost
+    program.exchange.expect(MessageType.SET_UP)  # the next attempt, after the time that the release may take
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER)
 
 
-def test_a_mute_connection_is_replaced_and_its_calls_and_releases_saved(program: Program) -> None:
-    """A connection may say nothing more and stay open: its set-ups would time out, its releases be lost."""
+def test_an_unresponsive_connection_is_replaced_and_its_calls_and_releases_are_kept(program: Program) -> None:
+    """A connection may stay open and deliver nothing: set-ups on it would time out and releases be lost."""
     caller, exchange = program.connect_caller(), program.exchange
     program.establish_call(caller)
     exchange.unresponsive = exchange.connection_of[CALL]
     caller.set_up(OTHER)
-    caller.set_up("00000000000000c3")  # the other connection carries one of the two
+    caller.set_up("00000000000000c3")  # one of the two is sent on the other connection
     sent = [exchange.received.get(timeout=20) for _ in range(2)]
-    assert {line for line, _ in sent} == set(exchange.connections)
-    (lost,) = [message.call for line, message in sent if line is exchange.unresponsive]
+    assert {connection for connection, _ in sent} == set(exchange.connections)
+    (lost,) = [message.call for connection, message in sent if connection is exchange.unresponsive]
     assert exchange.closed_connections.get(timeout=20) is exchange.unresponsive
     exchange.opened_connections.get(timeout=20)
     exchange.expect(MessageType.RELEASE, lost)
     exchange.expect(MessageType.SET_UP, lost)
     exchange.send(MessageType.ANSWER, lost, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER, lost)
-    exchange.release(CALL, 16)  # as exchanges do on the next connection that opens
+    exchange.release(CALL, 16)  # as exchanges repeat it on the next connection that opens
     caller.expect(MessageType.RELEASE)
 
 
-def test_a_spoilt_answer_ends_the_set_ups_of_its_connection_only(program: Program) -> None:
+def test_a_malformed_answer_ends_only_the_set_ups_of_its_connection(program: Program) -> None:
     caller, exchange = program.connect_caller(), program.exchange
     caller.set_up()
     caller.set_up(OTHER)
-    (spoilt, first), (good, second) = (exchange.received.get(timeout=20) for _ in range(2))
-    assert spoilt is not good
-    spoilt.socket.sendall(b"\xff" * 100)
+    (malformed, first), (valid, second) = (exchange.received.get(timeout=20) for _ in range(2))
+    assert malformed is not valid
+    malformed.socket.sendall(b"\xff" * 100)
     exchange.expect(MessageType.RELEASE, first.call)
-    good.send(MessageType.ANSWER, second.call, {Parameter.DESCRIPTION: b"answer"})
+    valid.send(MessageType.ANSWER, second.call, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER, second.call)
     exchange.expect(MessageType.SET_UP, first.call)
     exchange.send(MessageType.ANSWER, first.call, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER, first.call)
 
 
-def test_the_change_log_is_followed_in_order_and_taken_up_where_it_broke(program: Program) -> None:
-    near = Exchange()
+def test_the_change_log_is_followed_in_order_and_resumed_after_a_malformed_line(program: Program) -> None:
+    other_exchange = Exchange()
     program.publish(
         {"seq": 1}, change_event(1, instance_entry("far", 1, "127.0.0.1:1", "removed"))
     )  # a duplicate
-    program.publish(change_event(2, instance_entry("near", 2, near.address)))
-    near.opened_connections.get(timeout=20)
+    program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))
+    other_exchange.opened_connections.get(timeout=20)
     program.changelog_connection.socket.sendall(b"{not json\n")
     program.wait_for_log("malformed change-log line")
     program.changelog_connection.socket = program.changelog_listener.accept()
     assert program.changelog_connection.socket.recv(100) == b"since 2\n"
     program.publish(
-        {"seq": 2}, change_event(4, instance_entry("near", 2, near.address, "removed"))
+        {"seq": 2}, change_event(4, instance_entry("near", 2, other_exchange.address, "removed"))
     )  # 3 is missing
     program.wait_for_log("malformed change-log line")
-    again = program.changelog_listener.accept()
-    assert again.recv(100) == b"since 2\n"
+    reconnected = program.changelog_listener.accept()
+    assert reconnected.recv(100) == b"since 2\n"
     program.connect_caller().set_up(destination=2)
-    near.expect(MessageType.SET_UP)
+    other_exchange.expect(MessageType.SET_UP)
 
 
-def test_a_change_log_that_answers_slowly_is_not_hung_up_on(program: Program) -> None:
-    near = Exchange()
-    second = Peer(program.changelog_listener.accept())  # once the first has said nothing for 2.2 s
+def test_a_slow_change_log_connection_stays_in_use_once_it_delivers(program: Program) -> None:
+    other_exchange = Exchange()
+    # The program opens this one once it has received nothing on the first for 2.2 s.
+    second = Peer(program.changelog_listener.accept())
     assert second.socket.recv(100) == b"since 1\n"
-    program.publish(change_event(2, instance_entry("near", 2, near.address)))  # on the first
-    near.opened_connections.get(timeout=20)
+    program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))  # on the first
+    other_exchange.opened_connections.get(timeout=20)
     assert second.receive() is None
-    program.publish(change_event(3, instance_entry("near", 2, near.address, "removed")))
-    near.closed_connections.get(timeout=20)
+    program.publish(change_event(3, instance_entry("near", 2, other_exchange.address, "removed")))
+    other_exchange.closed_connections.get(timeout=20)
 
 
-def test_sigterm_lets_open_calls_finish_and_takes_more_on_open_connections(program: Program) -> None:
+def test_sigterm_lets_open_calls_finish_and_accepts_more_on_open_connections(program: Program) -> None:
     caller, late = program.connect_caller(), program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
@@ -349,30 +347,32 @@
     assert caller.receive() is None and program.process.wait(20) == 0
 
 
-def test_a_new_configuration_moves_the_change_log_and_a_bad_one_changes_nothing(program: Program) -> None:
-    caller, moved, near = program.connect_caller(), Listener(), Exchange()
+def test_a_new_configuration_moves_the_change_log_and_an_invalid_one_changes_nothing(
+    program: Program,
+) -> None:
+    caller, moved, other_exchange = program.connect_caller(), Listener(), Exchange()
     program.establish_call(caller)
     program.config["changelog"] = moved.address
     program.path.write_text(json.dumps(program.config))
     program.process.send_signal(signal.SIGHUP)
     program.changelog_connection.socket = moved.accept()
     assert program.changelog_connection.socket.recv(100) == b"since 1\n"
-    program.publish(change_event(2, instance_entry("near", 2, near.address)))
-    near.opened_connections.get(timeout=20)
-    for spoilt in ('{"name":', '{"limits": []}'):
-        program.path.write_text(spoilt)
+    program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))
+    other_exchange.opened_connections.get(timeout=20)
+    for invalid in ('{"name":', '{"limits": []}'):
+        program.path.write_text(invalid)
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("configuration not taken")
-    program.publish(change_event(3, instance_entry("near", 2, near.address, "removed")))
+    program.publish(change_event(3, instance_entry("near", 2, other_exchange.address, "removed")))
     program.exchange.release(CALL, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 16
 
 
-def test_a_test_of_the_connection_passes(program: Program) -> None:
+def test_a_test_of_the_connection_is_answered(program: Program) -> None:
     program.connect_caller().wait_until_processed()
 
 
-def test_connections_are_still_taken_for_a_while_after_the_stop(tmp_path: Path) -> None:
+def test_connections_are_still_accepted_for_a_while_after_the_stop(tmp_path: Path) -> None:
     scripted = Program(tmp_path)
 
     async def run() -> None:
@@ -390,34 +390,34 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "field"),
     [
         ({"listen": "nowhere"}, "listen"),
-        ({"listen": "taken"}, "listen"),
+        ({"listen": "in use"}, "listen"),
         ({"settings": {**SETTINGS, "classes": [{**SETTINGS["classes"][0], "onTimeNs": 1e999}]}}, "settings"),
         ({"operator": "nowhere"}, "operator"),
-        ({"operator": "taken"}, "operator"),
+        ({"operator": "in use"}, "operator"),
         ({"seed": "xyz"}, "seed"),
         ({"limits": {}}, "limits.sockets"),
         ({"settings": {"permissions": {}}}, "classes"),
         ({"known": {"seq": 1, "results": [change_event(1, {"cell": 1})]}}, "instanceId"),
     ],
 )
-def test_a_bad_configuration_is_named_in_one_sentence(
-    tmp_path: Path, changes: dict[str, object], named: str
+def test_an_invalid_configuration_is_reported_in_one_line_with_the_field(
+    tmp_path: Path, changes: dict[str, object], field: str
 ) -> None:
     program = Program(tmp_path)
     program.config.update(changes)
     for name in ("listen", "operator"):
-        if changes.get(name) == "taken":
+        if changes.get(name) == "in use":
             program.config[name] = program.changelog_listener.address
     process = program.launch()
-    said, _ = process.communicate(timeout=20)
-    assert process.returncode == 2 and said.count("\n") == 1 and named in said
+    output, _ = process.communicate(timeout=20)
+    assert process.returncode == 2 and output.count("\n") == 1 and field in output
 
 
-def test_no_call_stands_for_a_caller_that_has_left(program: Program) -> None:
-    """The answer and the end of the caller's connection may be read in the same pass of the loop."""
+def test_a_call_answered_after_its_caller_disconnected_is_released(program: Program) -> None:
+    """The answer and the end of the caller's connection may be read in the same event batch."""
     caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
