--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -301,18 +301,16 @@
 
 def test_the_change_log_is_followed_in_order_and_resumed_after_a_malformed_line(program: Program) -> None:
     other_exchange = Exchange()
-    program.publish(
-        {"seq": 1}, change_event(1, instance_entry("far", 1, "127.0.0.1:1", "removed"))
-    )  # a duplicate
+    # An event that is known already is ignored.
+    program.publish({"seq": 1}, change_event(1, instance_entry("far", 1, "127.0.0.1:1", "removed")))
     program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))
     other_exchange.opened_connections.get(timeout=20)
     program.changelog_connection.socket.sendall(b"{not json\n")
     program.wait_for_log("malformed change-log line")
     program.changelog_connection.socket = program.changelog_listener.accept()
     assert program.changelog_connection.socket.recv(100) == b"since 2\n"
-    program.publish(
-        {"seq": 2}, change_event(4, instance_entry("near", 2, other_exchange.address, "removed"))
-    )  # 3 is missing
+    # Event 3 is missing.
+    program.publish({"seq": 2}, change_event(4, instance_entry("near", 2, other_exchange.address, "removed")))
     program.wait_for_log("malformed change-log line")
     reconnected = program.changelog_listener.accept()
     assert reconnected.recv(100) == b"since 2\n"
