--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -56,8 +56,9 @@
     def close_idle_connection(self) -> bool:
         """Closes the least useful idle connection, to make room for a new one; returns whether there was one.
 
-        One that never sent a valid set-up is closed first, then the one that was idle for longest. Closing
-        the newest instead would hit callers that call, when others connect and then send nothing.
+        One that never sent a valid set-up is closed first, then the one that was idle for longest. Callers
+        that do call have the newest connections: closing those would let clients that connect and then send
+        nothing shut them out.
         """
         idle = [each for each in self.connections if each.is_open and not each.open_calls]
         idle.sort(key=self.usefulness)
--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -46,17 +46,24 @@
     class_name: str
     number_called: str
     destination: int
-    circuits: int
+    circuits: int  # how many circuits the call needs
     sender_or_advised_tandem: int  # the sender of a transit call, else an advised tandem, or -1
     patience_ms: int  # from the arrival of the set-up; the controller turns it into an absolute deadline
     redial: bool
     transit: bool
-    was_interrupted: bool
-    description: bytes
+    was_interrupted: bool  # the call is set up again after an interruption
+    description: bytes  # media description, passed on unchanged
 
 
 class CallerHandler(Protocol):
-    """What the controller does for connections from callers, whatever protocol they speak."""
+    """What the controller does for connections from callers, whatever protocol they speak.
+
+    - `accepts_calls` is the result of a test that a caller asks for.
+    - `first_call_carried` follows the first valid set-up or release on a connection.
+    - `call_offered` returns False if the set-up turns out not to be valid.
+    - `end_call_for_caller` ends a call before or after its answer, as its caller asks.
+    - `abort_call` ends an open call with a final answer, because its caller cannot go on with it.
+    """
 
     @property
     def accepts_calls(self) -> bool: ...
