--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -9,7 +9,7 @@
 import asyncio
 import time
 
-from arrowkeel.departure import ConnectionUse, Departure
+from arrowkeel.departure import ConnectionUse, DrainPlan
 from arrowkeel.net.callers import CallerConnection
 from arrowkeel.net.config import MS, Bounds
 from arrowkeel.net.connection import log
@@ -28,11 +28,11 @@
         self.bounds = bounds
         self.connections: dict[CallerConnection, None] = {}
         self.waiting_releases: dict[str, int] = {}  # causes by call, for the next caller's connection
-        self.departure: Departure | None = None  # set while connections are to be closed
+        self.departure: DrainPlan | None = None  # set while connections are to be closed
 
     def add(self, connection: CallerConnection) -> None:
         """Adds a new connection; at the limit an idle one is closed for it, or else the new one itself."""
-        if len(self.connections) >= self.bounds.caller_connections and not self.close_idle_connection():
+        if len(self.connections) >= self.bounds.max_caller_connections and not self.close_idle_connection():
             log.warning(
                 "caller connection limit reached and none is idle, new connection closed",
                 open=len(self.connections),
@@ -62,7 +62,7 @@
         """
         idle = [each for each in self.connections if each.is_open and not each.open_calls]
         idle.sort(key=self.usefulness)
-        connection = next((each for each in idle if not each.has_unread), None)
+        connection = next((each for each in idle if not each.has_unread_bytes), None)
         if connection is None:
             return False
         log.warning("caller connection limit reached, idle connection closed", open=len(self.connections))
@@ -72,10 +72,10 @@
     @staticmethod
     def usefulness(connection: CallerConnection) -> tuple[bool, int]:
         """Sort key: the connection that is closed first comes first."""
-        credit_ns = INCOMPLETE_MESSAGE_CREDIT_NS if connection.half_since_ns else 0
+        credit_ns = INCOMPLETE_MESSAGE_CREDIT_NS if connection.incomplete_since_ns else 0
         return connection.valid_set_ups > 0, connection.last_received_at_ns + credit_ns
 
-    def start_departure(self, departure: Departure) -> None:
+    def start_departure(self, departure: DrainPlan) -> None:
         """From now on closes each connection once nothing is lost with it, until `cancel_departure`."""
         self.departure = departure
 
@@ -85,23 +85,23 @@
 
     def refuses_set_ups(self, now_ns: int) -> bool:
         """Returns whether set-ups are refused because the connections are to be closed."""
-        return self.departure is not None and self.departure.refuses(now_ns)
+        return self.departure is not None and self.departure.refuses_set_ups(now_ns)
 
     def must_end_open_calls(self, now_ns: int) -> bool:
         """Returns whether every open call must get its final answer now, as the process is about to end."""
-        return self.departure is not None and self.departure.must_answer_all(now_ns)
+        return self.departure is not None and self.departure.must_answer_open_calls(now_ns)
 
     def current_use(self, connection: CallerConnection) -> ConnectionUse:
         """Returns what the connection carries at this moment."""
         others = (each for each in self.connections if each is not connection)
         return ConnectionUse(
             connected_at_ns=connection.connected_at_ns,
-            heard_at_ns=connection.last_received_at_ns,
+            last_received_at_ns=connection.last_received_at_ns,
             open_calls=len(connection.open_calls),
             standing_calls=len(connection.standing_calls),
-            has_half_message=connection.half_since_ns > 0,
+            has_incomplete_message=connection.incomplete_since_ns > 0,
             has_carried_calls=connection.has_carried_calls,
-            is_last=not any(each.is_open and each.has_carried_calls for each in others),
+            is_last_with_calls=not any(each.is_open and each.has_carried_calls for each in others),
         )
 
     def sweep(self, now_ns: int) -> None:
@@ -111,12 +111,12 @@
             if self.departure is not None and connection.is_open:
                 self.close_if_unused(connection, self.departure, now_ns)
 
-    def close_if_unused(self, connection: CallerConnection, departure: Departure, now_ns: int) -> None:
+    def close_if_unused(self, connection: CallerConnection, departure: DrainPlan, now_ns: int) -> None:
         """Closes a connection that may be closed, unless data has arrived that is not read yet.
 
         Such data would be lost with the connection.
         """
-        if departure.may_close(self.current_use(connection), now_ns) and not connection.has_unread:
+        if departure.may_close(self.current_use(connection), now_ns) and not connection.has_unread_bytes:
             connection.close()
 
     def release(self, call: str, cause: int, connection: CallerConnection | None) -> None:
@@ -134,7 +134,7 @@
         for other in sorted(others, key=lambda each: each.last_received_at_ns, reverse=True):
             if other.send_standing_release(call, cause):
                 return
-        if len(self.waiting_releases) < self.bounds.records:
+        if len(self.waiting_releases) < self.bounds.max_table_entries:
             self.waiting_releases[call] = cause
 
     async def close(self, until_ns: int) -> None:
--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -47,7 +47,7 @@
     number_called: str
     destination: int
     circuits: int  # how many circuits the call needs
-    sender_or_advised_tandem: int  # the sender of a transit call, else an advised tandem, or -1
+    sender_or_tandem: int  # the sender of a transit call, else the advised tandem, or -1
     patience_ms: int  # from the arrival of the set-up; the controller turns it into an absolute deadline
     redial: bool
     transit: bool
@@ -107,7 +107,7 @@
         number_called=number,
         destination=routing_value("dest"),
         circuits=circuits,
-        sender_or_advised_tandem=routing_value("via", -1),
+        sender_or_tandem=routing_value("via", -1),
         patience_ms=min(patience_ms, MAX_PATIENCE_MS),
         redial=message.text(Parameter.REDIAL, "0") == "1",
         transit=routing_value("transit", 0) == 1,
@@ -142,7 +142,7 @@
         self.last_received_at_ns = time.monotonic_ns()
         super().data_received(data)
 
-    def take(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         match message.type:
             case MessageType.SET_UP:
                 self.handle_set_up(message)
@@ -187,7 +187,7 @@
             self.has_carried_calls = True
             self.handler.first_call_carried(self)
 
-    def spoilt(self, reason: str) -> None:
+    def handle_protocol_error(self, reason: str) -> None:
         """Closes the connection after each call that is open on it has had its final answer."""
         for call in sorted(self.open_calls):
             self.handler.abort_call(self, call)
@@ -196,19 +196,19 @@
 
     @property
     def first_set_up_timeout_ns(self) -> int:
-        return INCOMPLETE_MESSAGE_TIMEOUT_NS if self.half_since_ns else FIRST_SET_UP_TIMEOUT_NS
+        return INCOMPLETE_MESSAGE_TIMEOUT_NS if self.incomplete_since_ns else FIRST_SET_UP_TIMEOUT_NS
 
     def sweep(self, now_ns: int) -> None:
         """Closes the connection if a set-up or the rest of a message is overdue; called periodically."""
         if not self.is_open:
             if self.closing_since_ns and now_ns > self.closing_since_ns + CLOSE_TIMEOUT_NS:
                 self.abort()
-        elif self.has_unread:
+        elif self.has_unread_bytes:
             pass  # what has arrived is read first, as it may be the set-up that is overdue
-        elif self.half_since_ns and now_ns > self.half_since_ns + INCOMPLETE_MESSAGE_TIMEOUT_NS:
-            self.spoilt("message not completed in time")
+        elif self.incomplete_since_ns and now_ns > self.incomplete_since_ns + INCOMPLETE_MESSAGE_TIMEOUT_NS:
+            self.handle_protocol_error("message not completed in time")
         elif not self.valid_set_ups and now_ns > self.connected_at_ns + self.first_set_up_timeout_ns:
-            self.spoilt("no valid set-up in time")
+            self.handle_protocol_error("no valid set-up in time")
 
     def send_answer(self, call: str, description: bytes) -> bool:
         """Returns whether the answer was written."""
--- a/arrowkeel/net/calls.py
+++ b/arrowkeel/net/calls.py
@@ -41,7 +41,7 @@
         self.standing: dict[str, set[str]] = {}  # identifiers of standing calls by exchange
         # Calls that ended recently: a message that crosses the end of its call, or a repeated release, is not
         # taken for one that concerns a call from before the start of this process.
-        self.ended = RecentNames(bounds.records)
+        self.ended = RecentNames(bounds.max_table_entries)
 
     def __len__(self) -> int:
         return len(self.records)
@@ -60,7 +60,8 @@
     def is_full(self) -> bool:
         """Whether a new call must be refused because of the number of calls or the size of descriptions."""
         return (
-            len(self.records) >= self.bounds.open_calls or self.description_bytes > self.bounds.descriptions
+            len(self.records) >= self.bounds.max_calls
+            or self.description_bytes > self.bounds.max_description_bytes
         )
 
     def open_calls(self) -> list[str]:
@@ -111,7 +112,7 @@
         """Removes a call that is over from the standing calls and from its exchange's lease."""
         call = record.offer.call
         record.connection.standing_calls.discard(call)
-        pool.liveness.ended(call)
+        pool.liveness.remove_call(call)
         calls = self.standing.get(pool.exchange, set())
         calls.discard(call)
         if not calls:
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -13,7 +13,7 @@
 from arrowkeel.net.caller_connections import CallerConnections
 from arrowkeel.net.callers import CallerConnection, Offer
 from arrowkeel.net.calls import CallRecord, CallTable
-from arrowkeel.net.changelog import ChangeLog
+from arrowkeel.net.changelog import ChangeLogClient
 from arrowkeel.net.codec import ReleaseCause
 from arrowkeel.net.config import MS, Config
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
@@ -40,12 +40,12 @@
         self.waiting_releases: dict[str, int] = {}  # of calls before our start, for the next exchange reached
         self.events: list[it.Event] = []
         self.turn_due = False
-        self.changelog = ChangeLog(
+        self.changelog = ChangeLogClient(
             config.changelog,
             config.last_seq,
-            config.clock,
-            self.membership.apply,
-            config.bounds.change_log_line,
+            config.clock_offset,
+            self.membership.apply_update,
+            config.bounds.max_change_log_line_bytes,
         )
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
         self.accepts_calls = True  # what tests of a caller's connection are told
@@ -58,10 +58,10 @@
 
     async def start(self) -> None:
         """Returns once each exchange was dialled, with success or without."""
-        for index, update in enumerate(self.config.known):
-            self.membership.apply(update, remembered=index == 0)
+        for index, update in enumerate(self.config.initial_updates):
+            self.membership.apply_update(update, is_remembered=index == 0)
         self.changelog.start()
-        dials = [pool.dialling for pool in self.pools.values() if pool.dialling is not None]
+        dials = [pool.dial_task for pool in self.pools.values() if pool.dial_task is not None]
         await asyncio.gather(*dials, return_exceptions=True)
 
     def sweep(self, now: int) -> None:
@@ -81,11 +81,11 @@
         self.calls.bounds = self.callers.bounds = config.bounds
         self.membership.config = self.config
         log.info("configuration taken", changelog=str(config.changelog), from_next_start=later)
-        for update in config.known:
-            if update.complete or update.seq == self.changelog.last + 1:
-                self.changelog.learn(update)
+        for update in config.initial_updates:
+            if update.is_complete or update.seq == self.changelog.last_seq + 1:
+                self.changelog.apply_update(update)
         if config.changelog != old.changelog:
-            self.changelog.move(config.changelog)
+            self.changelog.switch_address(config.changelog)
 
     def fail_open_calls(self) -> None:
         """The end is near: every open call gets its final answer, and nothing stays out for it."""
@@ -100,7 +100,7 @@
     async def close(self, until_ns: int) -> None:
         self.changelog.stop()
         await self.callers.close(until_ns)
-        self.membership.shut()
+        self.membership.shut_down()
 
     def metrics_text(self) -> str:
         return self.metrics.render(self.gauges())
@@ -113,7 +113,7 @@
         return {
             "in_progress": len(self.calls),
             "known_exchanges": len(pools),
-            "skipped_exchanges": sum(self.policy.avoids(exchange) for exchange in self.pools),
+            "skipped_exchanges": sum(self.policy.is_skipped(exchange) for exchange in self.pools),
             "open_calls": self.calls.open_count,
             "standing_calls": self.calls.standing_count,
             "silent_exchanges": sum(pool.is_silent for pool in pools),
@@ -122,7 +122,7 @@
             "releases_waiting_for_exchanges": waiting,
             "caller_connections": len(self.callers.connections),
             "change_log_silence_ms": self.changelog.silent_ms(),
-            "change_log_last": self.changelog.last,
+            "change_log_last": self.changelog.last_seq,
             "change_log_failures": self.changelog.failures,
         }
 
@@ -163,9 +163,9 @@
             case it.CancelAttempt(call, attempt):
                 record = self.calls.get(call)
                 if record is not None and record.attempts - 1 == attempt:
-                    self.abandon(call, record, it.Ending.CALLED_OFF)
+                    self.abandon(call, record, it.Ending.CANCELLED)
             case it.SetTimer(after_ns, label):
-                self.ring_at(now + after_ns, lambda: self.tell(it.TimerRang(label)))
+                self.ring_at(now + after_ns, lambda: self.tell(it.TimerExpired(label)))
             case it.Note(text):
                 log.debug(text)
             case it.Probe() | it.FollowList():
@@ -229,7 +229,7 @@
     def abandon(self, call: str, record: CallRecord, ending: it.Ending) -> None:
         """Give the attempt that is out up; what had not left was never sent."""
         if record.pool is not None and not record.established_at_ns:
-            left = record.pool.give_up(call)
+            left = record.pool.cancel_set_up(call)
             self.attempt_ended(call, ending if left else it.Ending.NOT_SENT)
 
     def fail(self, call: str, record: CallRecord) -> None:
@@ -278,7 +278,7 @@
             return False
         reason = self.refusal_reason(offer)
         if reason is not None:
-            self.refuse(connection, offer, self.config.settings.longest_advice_ns, reason)
+            self.refuse(connection, offer, self.config.settings.max_redial_after_ns, reason)
             return reason is not it.RefusalReason.UNKNOWN_CLASS
         self.take_call(connection, offer)
         return True
@@ -305,11 +305,11 @@
                 destination=offer.destination,
                 patience_ns=patience_ns,
                 number_called=offer.number_called,
-                width=offer.circuits,
-                from_or_advised=offer.sender_or_advised_tandem,
+                circuits=offer.circuits,
+                sender_or_advised_tandem=offer.sender_or_tandem,
                 redial=offer.redial,
                 transit=offer.transit,
-                was_cut=offer.was_interrupted,
+                was_interrupted=offer.was_interrupted,
             )
         )
 
@@ -327,16 +327,16 @@
         else:
             self.tell(it.CallerLeft(call))
             if pool is not None:
-                pool.give_up(call)
+                pool.cancel_set_up(call)
         self.calls.end(call)
         if pool is not None:
-            self.tell(self.outcome(call, record, attempt, it.Ending.CALLED_OFF, over=True))
+            self.tell(self.outcome(call, record, attempt, it.Ending.CANCELLED, over=True))
 
     def release_to_any_exchange(self, call: str, cause: int) -> None:
-        pool = self.membership.any_open()
+        pool = self.membership.first_open_pool()
         if pool is not None:
             pool.release(call, cause)
-        elif len(self.waiting_releases) < self.config.bounds.records:
+        elif len(self.waiting_releases) < self.config.bounds.max_table_entries:
             self.waiting_releases[call] = cause
 
     # From exchanges
@@ -352,9 +352,9 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         wait_ns: int = 0,
-        report: it.Report | None = None,
+        report: it.LoadReport | None = None,
     ) -> None:
         record = self.calls.get(call)
         if record is None or record.pool is None or record.established_at_ns:
@@ -371,7 +371,7 @@
             delay_ms=outcome.delay_ns // MS,
         )
         record.pool = None
-        self.tell(replace(outcome, cause=cause, told_wait_ns=wait_ns, report=report))
+        self.tell(replace(outcome, cause=cause, reported_wait_ns=wait_ns, report=report))
 
     def call_established(
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
@@ -386,12 +386,14 @@
             self.end_call_for_caller(call, ReleaseCause.NORMAL)
             return
         self.calls.establish(record, pool, now)
-        pool.hold(connection, call, record.offer.circuits)
+        pool.record_standing_call(connection, call, record.offer.circuits)
         log.debug("call stands", call=call, exchange=pool.exchange, connection=record.connection.number)
         self.metrics.passed[record.offer.class_name] += 1
         self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_at_ns))
 
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None:
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
+    ) -> None:
         """The release of a call that stands, also of one that stood before our start."""
         record = self.calls.get(call)
         if record is None:
@@ -399,17 +401,17 @@
                 self.calls.ended.add(call)
                 self.callers.release(call, cause, None)
         elif record.established_at_ns and record.pool is pool:
-            ending = it.Ending.COMPLETED if cause == ReleaseCause.NORMAL else it.Ending.CUT
+            ending = it.Ending.COMPLETED if cause == ReleaseCause.NORMAL else it.Ending.INTERRUPTED
             outcome = self.outcome(call, record, record.attempts - 1, ending, over=True)
             self.calls.end(call)
             log.debug("call over", call=call, exchange=pool.exchange, cause=cause)
             self.callers.release(call, cause, record.connection)
             self.tell(replace(outcome, report=report))
 
-    def set_up_left(self) -> None:
+    def set_up_sent(self) -> None:
         self.metrics.upstream_tries += 1
 
-    def group_state(self, exchange: str, report: it.Report | None) -> None:
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None:
         self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
@@ -420,18 +422,20 @@
     def dial_failed(self) -> None:
         self.metrics.dials_failed += 1
 
-    def connection_ended(self, loss: ConnectionLoss) -> None:
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.metrics.exchange_connections_lost[loss] += 1
 
     # Calls that nobody will release any more
 
-    def exchange_died(self, pool: ExchangePool) -> None:
+    def exchange_process_died(self, pool: ExchangePool) -> None:
         self.process_gone(pool, time.monotonic_ns(), ReleaseReason.REFUSING)
 
-    def process_gone(self, pool: ExchangePool, before_ns: int, reason: ReleaseReason) -> None:
+    def process_gone(self, pool: ExchangePool, established_before_ns: int, reason: ReleaseReason) -> None:
         """A process that is gone has cut the calls that stood before, and may have told nobody."""
         standing = self.calls.standing_at(pool.exchange)
-        cut = [call for call in standing if self.calls.records[call].established_at_ns < before_ns]
+        cut = [
+            call for call in standing if self.calls.records[call].established_at_ns < established_before_ns
+        ]
         self.cut(pool, cut, reason)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
@@ -454,7 +458,7 @@
         )
         self.metrics.standing_released[reason] += len(calls)
         for call in calls:
-            self.exchange_ended(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
+            self.released_by_exchange(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
-    def exchanges_listed(self, event: it.ExchangeList) -> None:
+    def exchange_list_changed(self, event: it.ExchangeList) -> None:
         self.tell(event)
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -21,9 +21,9 @@
 # for so long after a set-up, or lacks a state that another has, is mute, however open it looks.
 MUTE_NS = 250 * MS
 ENDINGS: dict[int, it.Ending] = {
-    ReleaseCause.NO_CIRCUIT: it.Ending.TURNED_AWAY,
+    ReleaseCause.NO_CIRCUIT: it.Ending.REJECTED,
     ReleaseCause.SET_UP_NOT_SENT: it.Ending.NOT_SENT,
-    ReleaseCause.TEMPORARY_FAILURE: it.Ending.CUT,
+    ReleaseCause.TEMPORARY_FAILURE: it.Ending.INTERRUPTED,
     ReleaseCause.USER_BUSY: it.Ending.NUMBER_BUSY,
     ReleaseCause.RESOURCE_UNAVAILABLE: it.Ending.NUMBER_BUSY,
 }
@@ -52,12 +52,12 @@
     def connection_heard(self, connection: ExchangeConnection) -> None: ...
     def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None: ...
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None: ...
     def released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None: ...
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None: ...
+    def state_told(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None: ...
 
 
 class ExchangeConnection(MessageConnection):
@@ -93,7 +93,7 @@
 
     def is_mute(self, now_ns: int) -> bool:
         """Whether something is due on it for so long that it must be taken to be dead."""
-        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.half_since_ns) if ns]
+        since_ns = [ns for ns in (self.asked_ns, self.behind_ns, self.incomplete_since_ns) if ns]
         return bool(since_ns) and now_ns - min(since_ns) > MUTE_NS
 
     def set_up(self, request: SetUpRequest, now_ns: int) -> bool:
@@ -116,7 +116,7 @@
             self.releases[call] = SentRelease(cause, time.monotonic_ns())
         return True
 
-    def take(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         if message.parameter_error:
             raise MalformedMessageError(message.parameter_error)
         self.hear()
@@ -169,7 +169,7 @@
         ending = ENDINGS.get(cause, it.Ending.NUMBER_BUSY)
         self.events.attempt_ended(message.call, ending, *wire.read_cause(note), report)
 
-    def report(self, message: Message) -> it.Report | None:
+    def report(self, message: Message) -> it.LoadReport | None:
         figures = message.named_values(Parameter.REPORT)
         if not figures:
             return None
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -13,15 +13,15 @@
 from arrowkeel.liveness import ExchangeLiveness, GroupState
 from arrowkeel.net.codec import ReleaseCause
 from arrowkeel.net.config import MS, Address, Config
-from arrowkeel.net.connection import SparseLog
+from arrowkeel.net.connection import RateLimitedLog
 from arrowkeel.net.exchange_connection import MUTE_NS, ExchangeConnection, SetUpRequest
 from arrowkeel.net.metrics import ConnectionLoss
 
 REDIAL_FIRST_NS, REDIAL_MOST_NS = 50 * MS, 1000 * MS  # between dials to an exchange that takes none
 REDIAL_WATCHED_NS = 250 * MS  # the most while calls stand there: their lease runs
 DEAD_AFTER_NS = 2000 * MS  # lost and then refused for so long: its process is gone, and its calls with it
-CONNECTIONS_KEPT = 2  # to one exchange
-CONNECTIONS_MOST = 4  # with those that are to replace one
+CONNECTIONS_PER_EXCHANGE = 2  # to one exchange
+MAX_CONNECTIONS_PER_EXCHANGE = 4  # with those that are to replace one
 SILENT_NS = 1000 * MS  # nothing heard on any connection for so long while one is mute: logged as silent
 QUIET_NS = 3000 * MS  # nothing heard at all: a new connection brings the state and the missed releases
 log = structlog.get_logger()
@@ -39,7 +39,7 @@
 class ExchangeHandler(Protocol):
     """What the controller does for connections to exchanges, whatever protocol they speak."""
 
-    def set_up_left(self) -> None: ...
+    def set_up_sent(self) -> None: ...
     def call_established(
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
     ) -> None: ...
@@ -47,16 +47,18 @@
         self,
         call: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         wait_ns: int = 0,
-        report: it.Report | None = None,
+        report: it.LoadReport | None = None,
     ) -> None: ...
-    def exchange_ended(self, pool: ExchangePool, call: str, cause: int, report: it.Report | None) -> None: ...
-    def group_state(self, exchange: str, report: it.Report | None) -> None: ...
+    def released_by_exchange(
+        self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
+    ) -> None: ...
+    def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None: ...
     def exchange_connected(self, pool: ExchangePool) -> None: ...
-    def exchange_died(self, pool: ExchangePool) -> None: ...
+    def exchange_process_died(self, pool: ExchangePool) -> None: ...
     def dial_failed(self) -> None: ...
-    def connection_ended(self, loss: ConnectionLoss) -> None: ...
+    def exchange_connection_lost(self, loss: ConnectionLoss) -> None: ...
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None: ...
 
 
@@ -68,11 +70,15 @@
 
     def __init__(self, exchange: str, address: Address, handler: ExchangeHandler, config: Config) -> None:
         self.exchange, self.address, self.handler = exchange, address, handler
-        self.report_names, self.dial_ns, self.bounds = config.report_names, config.dial_ns, config.bounds
+        self.report_names, self.dial_ns, self.bounds = (
+            config.report_names,
+            config.dial_timeout_ns,
+            config.bounds,
+        )
         self.serving = True
         self.closed = False
         self.connections: list[ExchangeConnection] = []  # the open ones, the first opened first
-        self.dialling: asyncio.Task[None] | None = None
+        self.dial_task: asyncio.Task[None] | None = None
         self.redial: asyncio.TimerHandle | None = None
         self.redial_gap_ns = REDIAL_FIRST_NS
         self.connected_at_ns = 0
@@ -82,7 +88,7 @@
         self.heard_ns = 0  # when anything was last heard, on any connection
         self.vouched_ns = 0  # when a refused dial last showed that the process behind open connections lives
         self.is_silent = False  # as the log was last told
-        self.sparse_log = SparseLog()
+        self.sparse_log = RateLimitedLog()
         self.liveness = ExchangeLiveness(config.settings.is_mesh)
         self.told_state: bytes | None = None  # the group's state as the decisions were last told
         self.queue: dict[str, SetUpRequest] = {}  # set-ups for the next connection
@@ -99,13 +105,13 @@
     # Dials
 
     def dial(self) -> None:
-        if self.closed or self.dialling is not None or len(self.connections) >= CONNECTIONS_MOST:
+        if self.closed or self.dial_task is not None or len(self.connections) >= MAX_CONNECTIONS_PER_EXCHANGE:
             return
         if self.redial is not None:
             self.redial.cancel()
             self.redial = None
         until_ns = time.monotonic_ns() + self.dial_ns
-        self.dialling = asyncio.get_running_loop().create_task(self.connect(until_ns))
+        self.dial_task = asyncio.get_running_loop().create_task(self.connect(until_ns))
 
     def dial_later(self) -> None:
         if self.closed or self.redial is not None:
@@ -117,7 +123,7 @@
 
     async def connect(self, until_ns: int) -> None:
         loop = asyncio.get_running_loop()
-        connection = ExchangeConnection(self.exchange, self.bounds.unsent, self)
+        connection = ExchangeConnection(self.exchange, self.bounds.max_unsent_bytes, self)
         failure: DialFailure | None = None
         try:
             async with asyncio.timeout_at(loop.time() + (until_ns - time.monotonic_ns()) / 1e9):
@@ -132,7 +138,7 @@
             connection.abort()
             raise
         finally:
-            self.dialling = None
+            self.dial_task = None
         if self.closed:
             connection.abort()
         elif failure is None and connection.is_open:
@@ -149,7 +155,7 @@
             self.release(call, cause, connection)
         self.flush_queue()
         self.handler.exchange_connected(self)
-        if len(self.connections) < CONNECTIONS_KEPT:
+        if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
             self.dial()
 
     def not_connected(self, failure: DialFailure) -> None:
@@ -168,7 +174,7 @@
         if failure is DialFailure.REFUSED and self.lost_at_ns and now - self.lost_at_ns > DEAD_AFTER_NS:
             # Guards against calls that nobody will release any more: their process has died.
             self.lost_at_ns = 0
-            self.handler.exchange_died(self)
+            self.handler.exchange_process_died(self)
         self.dial_later()
 
     def refusal_vouches(self, now_ns: int) -> bool:
@@ -187,12 +193,12 @@
         if connection not in self.connections:
             return
         self.connections.remove(connection)
-        self.handler.connection_ended(loss)
+        self.handler.exchange_connection_lost(loss)
         if not self.closed:
             log.info("exchange connection lost", reason=loss.value, **self.facts(connection))
         lost = {call: release.cause for call, release in connection.releases.items()}
         for call in sorted(connection.set_ups):
-            self.handler.attempt_ended(call, it.Ending.CUT)
+            self.handler.attempt_ended(call, it.Ending.INTERRUPTED)
             # Guards circuits: the exchange may have taken the call as standing, with its answer lost here.
             lost[call] = ReleaseCause.NORMAL
         connection.set_ups.clear()
@@ -202,7 +208,7 @@
             self.release(call, cause)
         if not self.connections:
             self.lost_at_ns = now
-        if len(self.connections) < CONNECTIONS_KEPT:
+        if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
             self.replace_lost(now)
 
     def replace_lost(self, now_ns: int) -> None:
@@ -223,23 +229,23 @@
     def answered(self, connection: ExchangeConnection, call: str, description: bytes) -> None:
         self.handler.call_established(self, connection, call, description)
 
-    def hold(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
+    def record_standing_call(self, connection: ExchangeConnection, call: str, circuits: int) -> None:
         """A call stands from now on, at the process behind this connection."""
         self.liveness.established(connection.number, call, circuits)
 
     def attempt_ended(
-        self, call: str, ending: it.Ending, cause: it.Cause, wait_ns: int, report: it.Report | None
+        self, call: str, ending: it.Ending, cause: it.FailureCause, wait_ns: int, report: it.LoadReport | None
     ) -> None:
         self.handler.attempt_ended(call, ending, cause, wait_ns, report)
 
     def released(
-        self, connection: ExchangeConnection, call: str, cause: int, report: it.Report | None
+        self, connection: ExchangeConnection, call: str, cause: int, report: it.LoadReport | None
     ) -> None:
         if cause == ReleaseCause.NORMAL:
             self.liveness.completed(connection.number, call)
-        self.handler.exchange_ended(self, call, cause, report)
+        self.handler.released_by_exchange(self, call, cause, report)
 
-    def state_told(self, connection: ExchangeConnection, report: it.Report | None) -> None:
+    def state_told(self, connection: ExchangeConnection, report: it.LoadReport | None) -> None:
         """Every connection is told each state: one that does not get what another has got is mute.
 
         The decisions hear it once: a second copy would undo what they have counted off for set-ups since.
@@ -255,7 +261,7 @@
                 other.behind_ns = other.behind_ns or connection.heard_ns
         if connection.state != self.told_state:
             self.told_state = connection.state
-            self.handler.group_state(self.exchange, report)
+            self.handler.group_state_reported(self.exchange, report)
 
     # Now and then
 
@@ -275,7 +281,7 @@
         quiet = now_ns - max(self.heard_ns, self.vouched_ns, self.connected_at_ns) > QUIET_NS
         if self.connections and (quiet or all_mute) and self.redial is None:
             self.dial()
-        elif len(self.connections) > CONNECTIONS_KEPT:
+        elif len(self.connections) > CONNECTIONS_PER_EXCHANGE:
             self.close_spare()
 
     def close_mute(self, mute: list[ExchangeConnection]) -> None:
@@ -298,7 +304,7 @@
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         elif connections := self.usable():
             self.send(request, min(connections, key=lambda each: len(each.set_ups)))
-        elif len(self.queue) >= self.bounds.records:
+        elif len(self.queue) >= self.bounds.max_table_entries:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
         else:
             self.queue[request.call] = request
@@ -315,14 +321,14 @@
         for other in self.connections:
             other.releases.pop(request.call, None)
         if connection.set_up(request, now):
-            self.handler.set_up_left()
+            self.handler.set_up_sent()
 
     def flush_queue(self) -> None:
         queue, self.queue = self.queue, {}
         for request in queue.values():
             self.set_up(request)
 
-    def give_up(self, call: str) -> bool:
+    def cancel_set_up(self, call: str) -> bool:
         """Give a set-up up; whether it had left, so that it may have run."""
         if self.queue.pop(call, None) is not None:
             return False
@@ -336,9 +342,9 @@
     def release(self, call: str, cause: int, connection: ExchangeConnection | None = None) -> None:
         """Release a call there, on that connection or any; it waits until one exists."""
         connection = connection or next(iter(self.usable()), None)
-        if connection is not None and connection.release(call, cause, self.bounds.records):
+        if connection is not None and connection.release(call, cause, self.bounds.max_table_entries):
             return
-        if len(self.waiting_releases) < self.bounds.records:
+        if len(self.waiting_releases) < self.bounds.max_table_entries:
             self.waiting_releases[call] = cause
             self.dial()
 
@@ -352,18 +358,18 @@
 
     def close(self) -> None:
         """The exchange is gone: its set-ups end, and nothing more is dialled."""
-        self.shut()
+        self.close_gracefully()
         self.flush_queue()
         for connection in list(self.connections):
             connection.abort_as(ConnectionLoss.CLOSED_BY_US)
 
-    def shut(self) -> None:
+    def close_gracefully(self) -> None:
         """The end of the program: what has been written still leaves."""
         self.closed = True
         if self.redial is not None:
             self.redial.cancel()
-        if self.dialling is not None:
-            self.dialling.cancel()
+        if self.dial_task is not None:
+            self.dial_task.cancel()
         for connection in list(self.connections):
             connection.close()
 
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from arrowkeel.departure import STOP_TAKES_NS, Departure
+from arrowkeel.departure import STOP_ACCEPT_NS, DrainPlan
 from arrowkeel.net.callers import CallerConnection
 from arrowkeel.net.config import MS, Config, ConfigError
 from arrowkeel.net.controller import Controller
@@ -36,7 +36,7 @@
         self.controller = Controller(config, Policy(config.settings, config.seed))
         self.loop = asyncio.get_running_loop()
         self.state = ServiceState.STARTING
-        self.operator_api = OperatorApi(self, config.bounds.operator_connections)
+        self.operator_api = OperatorApi(self, config.bounds.max_operator_connections)
         self.server: asyncio.Server | None = None
         self.stop_at_ns = 0
         self.finished: asyncio.Future[None] = self.loop.create_future()
@@ -66,16 +66,16 @@
         config = self.config
 
         def line() -> CallerConnection:
-            return CallerConnection(self.controller, config.bounds.unsent)
+            return CallerConnection(self.controller, config.bounds.max_unsent_bytes)
 
         if config.accept_fd is not None:  # the platform's socket: whoever runs after us has it too
             held = socket.socket(fileno=config.accept_fd)
             return await self.loop.create_server(
-                line, sock=held, backlog=config.bounds.backlog, start_serving=False
+                line, sock=held, backlog=config.bounds.accept_backlog, start_serving=False
             )
         host, port = config.listen.host, config.listen.port
         return await self.loop.create_server(
-            line, host, port, backlog=config.bounds.backlog, start_serving=False
+            line, host, port, backlog=config.bounds.accept_backlog, start_serving=False
         )
 
     @property
@@ -104,7 +104,7 @@
             self.state = ServiceState.STANDBY
             log.info("standby", **self.load())
             self.controller.accepts_calls = False
-            self.controller.callers.start_departure(Departure.standby(time.monotonic_ns()))
+            self.controller.callers.start_departure(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def active(self) -> bool:
@@ -134,15 +134,15 @@
         """
         if self.stop_at_ns:
             return
-        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_give_up_ns
+        now, longest_ns = time.monotonic_ns(), self.config.settings.longest_deadline_ns
         self.state = ServiceState.STOPPING
-        self.stop_at_ns = now + STOP_TAKES_NS
+        self.stop_at_ns = now + STOP_ACCEPT_NS
         log.info("stopping", **self.load())
         if self.config.accept_fd is not None:
             self.close_server()
-            self.controller.callers.start_departure(Departure.hand_over(now, longest_ns))
+            self.controller.callers.start_departure(DrainPlan.hand_over(now, longest_ns))
         else:
-            self.controller.callers.start_departure(Departure.stop(now, longest_ns))
+            self.controller.callers.start_departure(DrainPlan.stop(now, longest_ns))
         self.finish_if_due()
 
     def close_server(self) -> None:
@@ -163,7 +163,7 @@
         else:
             self.loop.call_later(0.01, self.finish_if_due)
 
-    async def finish(self) -> None:
+    async def shut_down(self) -> None:
         await self.controller.close(time.monotonic_ns() + FLUSH_NS)
         self.operator_api.close()
         await asyncio.sleep(0.005)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,15 +14,15 @@
 
 SETTINGS = it.Settings(
     classes=(
-        it.CallClass("plain", aim_ns=1500 * MS, give_up_ns=9 * S, worth=1.0, late_worth=0.25),
-        it.CallClass("worthy", aim_ns=1500 * MS, give_up_ns=9 * S, worth=4.0, late_worth=0.25),
+        it.CallClass("plain", target_ns=1500 * MS, deadline_ns=9 * S, worth=1.0, late_worth=0.25),
+        it.CallClass("worthy", target_ns=1500 * MS, deadline_ns=9 * S, worth=4.0, late_worth=0.25),
     ),
     own_number=0,
-    agents=5,
+    controllers=5,
     may_advise_redial=True,
-    longest_advice_ns=2 * S,
+    max_redial_after_ns=2 * S,
     attempt_limit=6,
-    release_ns=400 * MS,
+    release_guard_ns=400 * MS,
 )
 
 
@@ -54,11 +54,11 @@
         end = self.now + int(ms * MS)
         while self.now < end:
             self.now = min(end, self.now + int(step_ms * MS))
-            actions += self.tell(it.TimerRang(0))
+            actions += self.tell(it.TimerExpired(0))
         return actions
 
     def circuits(self, exchange: str, free: int, size: int = 60) -> list[it.Action]:
-        return self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, it.Report(free, size)))
+        return self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, it.LoadReport(free, size)))
 
     def offer(self, destination: int, **changes: object) -> tuple[str, list[it.Action]]:
         self.serial += 1
@@ -76,7 +76,7 @@
         call: str,
         exchange: str,
         ending: it.Ending,
-        cause: it.Cause = it.Cause.UNSAID,
+        cause: it.FailureCause = it.FailureCause.UNSPECIFIED,
         attempt: int = 0,
         call_over: bool = False,
     ) -> list[it.Action]:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from arrowkeel.net.codec import Decoder, Message, MessageType, Parameter, encode
-from arrowkeel.net.config import Clock, Config, read_config
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
+from arrowkeel.net.config import ClockOffset, Config, read_config
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE
 
 TIMEOUT_S = 20.0  # only a failing test waits this long
 # Identifiers of two calls.
@@ -221,7 +221,7 @@
     """Returns a configuration like that of `Program`, for tests of one part of the program."""
     raw = {"name": "n0", "listen": "127.0.0.1:0", "seed": "1", "limits": LIMITS, "settings": SETTINGS}
     raw |= {"changelog": "127.0.0.1:1", "known": {"seq": 1, "results": []}, **changes}
-    return read_config(json.dumps(raw), Clock.now())
+    return read_config(json.dumps(raw), ClockOffset.measure())
 
 
 class Program:
@@ -269,7 +269,7 @@
         )
         self.changelog_connection = Peer(self.changelog_listener.accept())
         assert self.changelog_connection.socket.recv(100) == b"since 1\n"
-        for _ in range(CONNECTIONS_KEPT):
+        for _ in range(CONNECTIONS_PER_EXCHANGE):
             self.exchange.opened_connections.get(timeout=TIMEOUT_S)
 
     @staticmethod
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -13,7 +13,7 @@
 
 from arrowkeel.net.callers import MAX_INVALID_SET_UPS
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
-from arrowkeel.net.config import Clock, read_config
+from arrowkeel.net.config import ClockOffset, read_config
 from arrowkeel.net.service import Service
 from tests.peers import (
     CALL,
@@ -374,7 +374,7 @@
     scripted = Program(tmp_path)
 
     async def run() -> None:
-        config = read_config(json.dumps(scripted.config), Clock.now())
+        config = read_config(json.dumps(scripted.config), ClockOffset.measure())
         service = Service(config)
         await service.start()
         assert service.server is not None
@@ -382,7 +382,7 @@
         assert service.server.is_serving() and not service.finished.done()
         await asyncio.wait_for(service.finished, 20)
         assert not service.server.is_serving()
-        await service.finish()
+        await service.shut_down()
 
     asyncio.run(run())
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -12,8 +12,8 @@
 import pytest
 
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
-from arrowkeel.net.config import Clock, read_config
-from arrowkeel.net.exchange_pool import CONNECTIONS_KEPT
+from arrowkeel.net.config import ClockOffset, read_config
+from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE
 from arrowkeel.net.service import Service
 from tests.peers import CALL, OTHER, TIMEOUT_S, Peer, Program, running_program
 
@@ -152,7 +152,9 @@
     address = held.getsockname()
 
     async def run() -> None:
-        config = read_config(json.dumps(scripted.config), Clock.now(), {"LB_ACCEPT_FD": str(held.detach())})
+        config = read_config(
+            json.dumps(scripted.config), ClockOffset.measure(), {"LB_ACCEPT_FD": str(held.detach())}
+        )
         service = Service(config)
         await service.start()
         reader, writer = await asyncio.open_connection(*address)
@@ -163,7 +165,7 @@
         assert await reader.read() == b"" and time.monotonic_ns() >= service.stop_at_ns
         writer.close()
         await asyncio.wait_for(service.finished, TIMEOUT_S)
-        await service.finish()
+        await service.shut_down()
 
     asyncio.run(run())
 
@@ -194,7 +196,7 @@
         assert caller.receive() is None and first.wait(TIMEOUT_S) == 0
         after = program.connect_caller()
         program.establish_call(after, OTHER)
-        for _ in range(CONNECTIONS_KEPT):
+        for _ in range(CONNECTIONS_PER_EXCHANGE):
             program.exchange.closed_connections.get(timeout=TIMEOUT_S)
         program.exchange.release(CALL, 16)  # of a call that stood before this process began
         assert after.expect(MessageType.RELEASE).cause() == 16
