--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -28,7 +28,7 @@
         self.bounds = bounds
         self.connections: dict[CallerConnection, None] = {}
         self.waiting_releases: dict[str, int] = {}  # causes by call, for the next caller's connection
-        self.departure: DrainPlan | None = None  # set while connections are to be closed
+        self.drain_plan: DrainPlan | None = None  # set while connections are to be closed
 
     def add(self, connection: CallerConnection) -> None:
         """Adds a new connection; at the limit an idle one is closed for it, or else the new one itself."""
@@ -75,21 +75,21 @@
         credit_ns = INCOMPLETE_MESSAGE_CREDIT_NS if connection.incomplete_since_ns else 0
         return connection.valid_set_ups > 0, connection.last_received_at_ns + credit_ns
 
-    def start_departure(self, departure: DrainPlan) -> None:
-        """From now on closes each connection once nothing is lost with it, until `cancel_departure`."""
-        self.departure = departure
+    def start_drain(self, drain_plan: DrainPlan) -> None:
+        """From now on closes each connection once nothing is lost with it, until `cancel_drain`."""
+        self.drain_plan = drain_plan
 
-    def cancel_departure(self) -> None:
+    def cancel_drain(self) -> None:
         """Lets the remaining connections stay."""
-        self.departure = None
+        self.drain_plan = None
 
     def refuses_set_ups(self, now_ns: int) -> bool:
         """Returns whether set-ups are refused because the connections are to be closed."""
-        return self.departure is not None and self.departure.refuses_set_ups(now_ns)
+        return self.drain_plan is not None and self.drain_plan.refuses_set_ups(now_ns)
 
-    def must_end_open_calls(self, now_ns: int) -> bool:
+    def must_answer_open_calls(self, now_ns: int) -> bool:
         """Returns whether every open call must get its final answer now, as the process is about to end."""
-        return self.departure is not None and self.departure.must_answer_open_calls(now_ns)
+        return self.drain_plan is not None and self.drain_plan.must_answer_open_calls(now_ns)
 
     def current_use(self, connection: CallerConnection) -> ConnectionUse:
         """Returns what the connection carries at this moment."""
@@ -108,15 +108,15 @@
         """Closes connections that are overdue or are to be closed and idle; called periodically."""
         for connection in list(self.connections):
             connection.sweep(now_ns)
-            if self.departure is not None and connection.is_open:
-                self.close_if_unused(connection, self.departure, now_ns)
+            if self.drain_plan is not None and connection.is_open:
+                self.close_if_unused(connection, self.drain_plan, now_ns)
 
-    def close_if_unused(self, connection: CallerConnection, departure: DrainPlan, now_ns: int) -> None:
+    def close_if_unused(self, connection: CallerConnection, drain_plan: DrainPlan, now_ns: int) -> None:
         """Closes a connection that may be closed, unless data has arrived that is not read yet.
 
         Such data would be lost with the connection.
         """
-        if departure.may_close(self.current_use(connection), now_ns) and not connection.has_unread_bytes:
+        if drain_plan.may_close(self.current_use(connection), now_ns) and not connection.has_unread_bytes:
             connection.close()
 
     def release(self, call: str, cause: int, connection: CallerConnection | None) -> None:
--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -104,7 +104,7 @@
             self.state = ServiceState.STANDBY
             log.info("standby", **self.load())
             self.controller.accepts_calls = False
-            self.controller.callers.start_departure(DrainPlan.standby(time.monotonic_ns()))
+            self.controller.callers.start_drain(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def active(self) -> bool:
@@ -112,7 +112,7 @@
             self.state = ServiceState.READY
             log.info("active again", **self.load())
             self.controller.accepts_calls = True
-            self.controller.callers.cancel_departure()
+            self.controller.callers.cancel_drain()
         return self.state is ServiceState.READY
 
     def load(self) -> dict[str, int]:
@@ -140,9 +140,9 @@
         log.info("stopping", **self.load())
         if self.config.accept_fd is not None:
             self.close_server()
-            self.controller.callers.start_departure(DrainPlan.hand_over(now, longest_ns))
+            self.controller.callers.start_drain(DrainPlan.hand_over(now, longest_ns))
         else:
-            self.controller.callers.start_departure(DrainPlan.stop(now, longest_ns))
+            self.controller.callers.start_drain(DrainPlan.stop(now, longest_ns))
         self.finish_if_due()
 
     def close_server(self) -> None:
@@ -155,7 +155,7 @@
         now, callers, calls = time.monotonic_ns(), self.controller.callers, self.controller.calls
         if now >= self.stop_at_ns:
             self.close_server()
-        if callers.must_end_open_calls(now):
+        if callers.must_answer_open_calls(now):
             self.controller.fail_open_calls()
             self.finished.set_result(None)
         elif now >= self.stop_at_ns and not calls.open_count and not callers.connections:
