--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -1,4 +1,7 @@
-"""The turn: events in, one `Policy.handle`, its actions out; and what each call's peers are told of it."""
+"""The controller: passes events to the policy in batches and carries out the actions that it returns.
+
+It keeps each call's record up to date, and sends what the call's peers must receive about it.
+"""
 
 from __future__ import annotations
 
@@ -22,24 +25,25 @@
 from arrowkeel.net.metrics import ConnectionLoss, Metrics, ReleaseReason
 from arrowkeel.policy import Policy
 
-OVERDUE_NS = 15 * MS  # past its caller's time a call is ended here, whatever the decisions did
-CALLS_LOGGED = 8  # ids of calls in one entry of the log
+# How long after its deadline a call is ended here if the policy has not answered it.
+OVERDUE_GRACE_NS = 15 * MS
+MAX_LOGGED_CALLS = 8  # call identifiers in one log entry
 log = structlog.get_logger()
 
 
 class Controller:
-    """One call controller. It carries out what the decisions say, and tells them what came of it."""
+    """One call controller: carries out the policy's actions and reports their outcomes to it as events."""
 
     def __init__(self, config: Config, policy: Policy) -> None:
         self.config, self.policy = config, policy
         self.loop = asyncio.get_running_loop()
-        self.class_names = frozenset(kind.name for kind in config.settings.classes)
+        self.class_names = frozenset(call_class.name for call_class in config.settings.classes)
         self.calls = CallTable(config.bounds)
         self.callers = CallerConnections(config.bounds)
         self.membership = Membership(self, config)
-        self.waiting_releases: dict[str, int] = {}  # of calls before our start, for the next exchange reached
+        self.waiting_releases: dict[str, int] = {}  # causes by call, of calls from before the start
         self.events: list[it.Event] = []
-        self.turn_due = False
+        self.batch_scheduled = False
         self.changelog = ChangeLogClient(
             config.changelog,
             config.last_seq,
@@ -47,66 +51,72 @@
             self.membership.apply_update,
             config.bounds.max_change_log_line_bytes,
         )
-        self.metrics = Metrics(kind.name for kind in config.settings.classes)
-        self.accepts_calls = True  # what tests of a caller's connection are told
+        self.metrics = Metrics(call_class.name for call_class in config.settings.classes)
+        self.accepts_calls = True  # the result of a test that a caller asks for
 
     @property
     def pools(self) -> dict[str, ExchangePool]:
         return self.membership.pools
 
-    # Start, a new configuration, the end
+    # Start, reload, shutdown
 
     async def start(self) -> None:
-        """Returns once each exchange was dialled, with success or without."""
+        """Applies the known list and starts the change log; returns once each exchange was dialled.
+
+        The outcome of the dials does not matter.
+        """
         for index, update in enumerate(self.config.initial_updates):
             self.membership.apply_update(update, is_remembered=index == 0)
         self.changelog.start()
         dials = [pool.dial_task for pool in self.pools.values() if pool.dial_task is not None]
         await asyncio.gather(*dials, return_exceptions=True)
 
-    def sweep(self, now: int) -> None:
-        self.membership.sweep(now)
-        self.callers.sweep(now)
+    def sweep(self, now_ns: int) -> None:
+        """Checks all connections for what is overdue; called periodically."""
+        self.membership.sweep(now_ns)
+        self.callers.sweep(now_ns)
 
     def reload(self, config: Config) -> None:
-        """What a new configuration changes while calls and connections go on as they are.
+        """Applies a new configuration; calls and connections go on.
 
-        The change log moves at once: its old address tells nothing more. What the decisions were built with,
-        and where we listen, hold until the next start.
+        The change log is followed at its new address at once, because the old one reports nothing more. The
+        values from which the policy was built, and the listening addresses, change only at the next start.
         """
-        old = self.config
-        fixed = ("name", "listen", "operator", "accept_fd", "seed", "settings", "report_names")
-        later = [name for name in fixed if getattr(config, name) != getattr(old, name)]
-        self.config = replace(config, **{name: getattr(old, name) for name in fixed})
+        previous = self.config
+        fixed_fields = ("name", "listen", "operator", "accept_fd", "seed", "settings", "report_names")
+        deferred = [name for name in fixed_fields if getattr(config, name) != getattr(previous, name)]
+        self.config = replace(config, **{name: getattr(previous, name) for name in fixed_fields})
         self.calls.bounds = self.callers.bounds = config.bounds
         self.membership.config = self.config
-        log.info("configuration taken", changelog=str(config.changelog), from_next_start=later)
+        log.info("configuration reloaded", changelog=str(config.changelog), from_next_start=deferred)
         for update in config.initial_updates:
             if update.is_complete or update.seq == self.changelog.last_seq + 1:
                 self.changelog.apply_update(update)
-        if config.changelog != old.changelog:
+        if config.changelog != previous.changelog:
             self.changelog.switch_address(config.changelog)
 
     def fail_open_calls(self) -> None:
-        """The end is near: every open call gets its final answer, and nothing stays out for it."""
+        """Ends each open call at shutdown: its caller gets the final answer and its attempt is given up."""
         open_calls = self.calls.open_calls()
         if open_calls:
-            log.warning("open calls fail at the end", calls=len(open_calls), first_calls=open_calls[:8])
+            log.warning("open calls failed at shutdown", calls=len(open_calls), first_calls=open_calls[:8])
         for call in open_calls:
             record = self.calls.records[call]
             self.end_call_for_caller(call, ReleaseCause.NORMAL)
-            self.fail(call, record)
+            self.fail_call(call, record)
 
     async def close(self, until_ns: int) -> None:
+        """Closes everything at shutdown; the last answers are sent before `until_ns`."""
         self.changelog.stop()
         await self.callers.close(until_ns)
         self.membership.shut_down()
 
     def metrics_text(self) -> str:
+        """Returns the counters and gauges in the statsd text form."""
         return self.metrics.render(self.gauges())
 
     def gauges(self) -> dict[str, int]:
-        """What is held at this moment."""
+        """Returns the current values of the gauges by metric name."""
         pools = self.pools.values()
         silences = [pool.silent_ms() for pool in pools if self.calls.standing.get(pool.exchange)]
         waiting = sum(len(pool.waiting_releases) for pool in pools) + len(self.waiting_releases)
@@ -126,120 +136,139 @@
             "change_log_failures": self.changelog.failures,
         }
 
-    # The turn
+    # Event batches
 
-    def tell(self, event: it.Event) -> None:
-        """Queue an event for the turn at the end of this pass of the loop, with all that is ready."""
+    def queue_event(self, event: it.Event) -> None:
+        """Queues an event; all that are queued in one iteration of the event loop form one batch."""
         self.events.append(event)
-        if not self.turn_due:
-            self.turn_due = True
-            self.loop.call_soon(self.turn)
-
-    def turn(self) -> None:
-        self.turn_due = False
-        # Guards the rates: what was taken back before it was looked at must not count as sent or asked for.
-        events = [event for event in self.events if not self.taken_back(event)]
+        if not self.batch_scheduled:
+            self.batch_scheduled = True
+            self.loop.call_soon(self.process_batch)
+
+    def process_batch(self) -> None:
+        """Passes the queued events to the policy and carries out its actions.
+
+        A call is offered with the patience that its caller has left at this moment.
+        """
+        self.batch_scheduled = False
+        # Calls that ended while their offer was queued are left out, so that they do not count in the
+        # policy's rates of calls offered and sent.
+        events = [event for event in self.events if not self.is_withdrawn(event)]
         self.events = []
-        now = time.monotonic_ns()
-        for place, event in enumerate(events):
+        now_ns = time.monotonic_ns()
+        for index, event in enumerate(events):
             if isinstance(event, it.CallOffered) and (record := self.calls.get(event.call)):
-                events[place] = replace(event, patience_ns=max(0, record.deadline_at_ns - now))
-        for action in self.policy.handle(now, events):
-            self.carry_out(action, now)
+                events[index] = replace(event, patience_ns=max(0, record.deadline_at_ns - now_ns))
+        for action in self.policy.handle(now_ns, events):
+            self.execute(action, now_ns)
 
-    def taken_back(self, event: it.Event) -> bool:
+    def is_withdrawn(self, event: it.Event) -> bool:
+        """Returns whether the event offers a call that has ended since it was queued."""
         return isinstance(event, it.CallOffered) and event.call not in self.calls
 
-    def carry_out(self, action: it.Action, now: int) -> None:
+    def execute(self, action: it.Action, now_ns: int) -> None:
+        """Carries out one action of the policy; one for a call that is over is ignored."""
         match action:
             case it.SetUp(call, exchange, abandon_at_ns):
-                self.set_up(call, exchange, abandon_at_ns, now)
+                self.start_attempt(call, exchange, abandon_at_ns, now_ns)
             case it.Refuse(call, redial_after_ns, reason):
                 if record := self.calls.end(call):
-                    self.refuse(record.connection, record.offer, redial_after_ns, reason)
+                    self.refuse_call(record.connection, record.offer, redial_after_ns, reason)
             case it.Fail(call):
                 if record := self.calls.end(call):
-                    self.fail(call, record)
+                    self.fail_call(call, record)
             case it.CancelAttempt(call, attempt):
                 record = self.calls.get(call)
                 if record is not None and record.attempts - 1 == attempt:
-                    self.abandon(call, record, it.Ending.CANCELLED)
+                    self.abandon_attempt(call, record, it.Ending.CANCELLED)
             case it.SetTimer(after_ns, label):
-                self.ring_at(now + after_ns, lambda: self.tell(it.TimerExpired(label)))
+                self.schedule_timer(now_ns + after_ns, lambda: self.queue_event(it.TimerExpired(label)))
             case it.Note(text):
                 log.debug(text)
             case it.Probe() | it.FollowList():
-                pass  # a test shows only that a connection works, and the change log comes unasked
+                pass  # a test shows only that a connection works, and the change log is followed in any case
+
+    def schedule_timer(self, due_at_ns: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        """Runs the callback at a moment, and never before it.
 
-    def ring_at(self, due_ns: int, ring: Callable[[], None]) -> asyncio.TimerHandle:
-        """The loop counts in milliseconds and may ring early: the decisions' timer would then be lost."""
+        The event loop counts in milliseconds and may fire a timer early. The policy's timer would then be
+        lost: the policy sets the next one only once the last one is due.
+        """
 
-        def rang() -> None:
-            if time.monotonic_ns() >= due_ns:
-                ring()
+        def fire() -> None:
+            if time.monotonic_ns() >= due_at_ns:
+                callback()
             else:
-                self.ring_at(due_ns, ring)
+                self.schedule_timer(due_at_ns, callback)
 
-        left_ns = max(0, due_ns - time.monotonic_ns())
-        return self.loop.call_later(left_ns / 1e9 + 0.0005, rang)
+        left_ns = max(0, due_at_ns - time.monotonic_ns())
+        return self.loop.call_later(left_ns / 1e9 + 0.0005, fire)
 
     # Calls
 
-    def set_up(self, call: str, exchange: str, abandon_at_ns: int, now: int) -> None:
+    def start_attempt(self, call: str, exchange: str, abandon_at_ns: int, now_ns: int) -> None:
+        """Sends the set-up of a call to an exchange, unless the call is over or has an attempt in progress.
+
+        `abandon_at_ns` 0 means the call's deadline, which is the latest moment in any case.
+        """
         record, pool = self.calls.get(call), self.pools.get(exchange)
         if record is None or record.pool is not None:
             return
-        record.attempts, record.sent_at_ns = record.attempts + 1, now
+        record.attempts, record.sent_at_ns = record.attempts + 1, now_ns
         record.abandon_at_ns = min(abandon_at_ns or record.deadline_at_ns, record.deadline_at_ns)
         if pool is None:
-            self.tell(it.AttemptEnded(call, record.attempts - 1, exchange, it.Ending.NOT_SENT))
+            self.queue_event(it.AttemptEnded(call, record.attempts - 1, exchange, it.Ending.NOT_SENT))
             return
         record.pool = pool
         offer = record.offer
         if record.abandon_at_ns < record.deadline_at_ns:
-            self.watch(call, record)
+            self.restart_timer(call, record)
         pool.set_up(
             SetUpRequest(call, offer.class_name, offer.number_called, offer.description, record.abandon_at_ns)
         )
 
-    def watch(self, call: str, record: CallRecord) -> None:
-        """One timer a call: for the attempt that is out, else for the caller's patience."""
+    def restart_timer(self, call: str, record: CallRecord) -> None:
+        """Sets the one timer of a call: for the attempt in progress, else for the call's deadline."""
         record.cancel_timer()
-        due_ns = record.abandon_at_ns if record.pool is not None else record.deadline_at_ns
-        left_ns = max(0, due_ns - time.monotonic_ns())
-        record.timer = self.loop.call_later(left_ns / 1e9, self.expired, call, record)
+        due_at_ns = record.abandon_at_ns if record.pool is not None else record.deadline_at_ns
+        left_ns = max(0, due_at_ns - time.monotonic_ns())
+        record.timer = self.loop.call_later(left_ns / 1e9, self.call_timer_expired, call, record)
 
-    def expired(self, call: str, record: CallRecord) -> None:
-        now = time.monotonic_ns()
+    def call_timer_expired(self, call: str, record: CallRecord) -> None:
+        """Gives up an overdue attempt, and ends a call that the policy has left unanswered."""
+        now_ns = time.monotonic_ns()
         if self.calls.get(call) is not record or record.established_at_ns:
             return
-        if record.pool is not None and now >= record.abandon_at_ns:
-            self.abandon(call, record, it.Ending.NO_ANSWER)
-        if now >= record.deadline_at_ns + OVERDUE_NS:
-            # Guards the one final answer: the decisions have by now answered each call that they know.
-            log.error("call without an answer at its end", call=call)
+        if record.pool is not None and now_ns >= record.abandon_at_ns:
+            self.abandon_attempt(call, record, it.Ending.NO_ANSWER)
+        if now_ns >= record.deadline_at_ns + OVERDUE_GRACE_NS:
+            # By now the policy has answered each call that it knows; this makes sure that every other call
+            # gets its one final answer too.
+            log.error("call past its deadline without a final answer", call=call)
             self.calls.end(call)
-            self.fail(call, record)
-            self.tell(it.CallerLeft(call))
-        elif now >= record.deadline_at_ns:
-            record.timer = self.loop.call_later(OVERDUE_NS / 1e9, self.expired, call, record)
+            self.fail_call(call, record)
+            self.queue_event(it.CallerLeft(call))
+        elif now_ns >= record.deadline_at_ns:
+            record.timer = self.loop.call_later(OVERDUE_GRACE_NS / 1e9, self.call_timer_expired, call, record)
         else:
-            self.watch(call, record)
+            self.restart_timer(call, record)
 
-    def abandon(self, call: str, record: CallRecord, ending: it.Ending) -> None:
-        """Give the attempt that is out up; what had not left was never sent."""
+    def abandon_attempt(self, call: str, record: CallRecord, ending: it.Ending) -> None:
+        """Gives up the attempt in progress; it ends as never sent if its set-up was still queued."""
         if record.pool is not None and not record.established_at_ns:
-            left = record.pool.cancel_set_up(call)
-            self.attempt_ended(call, ending if left else it.Ending.NOT_SENT)
+            was_sent = record.pool.cancel_set_up(call)
+            self.attempt_ended(call, ending if was_sent else it.Ending.NOT_SENT)
 
-    def fail(self, call: str, record: CallRecord) -> None:
+    def fail_call(self, call: str, record: CallRecord) -> None:
+        """Sends the final answer of a failed call, whose record is no longer in the table."""
         log.debug("call failed", call=call, attempts=record.attempts, connection=record.connection.number)
         self.metrics.bad_gateway[record.offer.class_name] += 1
         record.connection.send_failure(call)
 
-    def refuse(
+    def refuse_call(
         self, connection: CallerConnection, offer: Offer, redial_after_ns: int, reason: it.RefusalReason
     ) -> None:
+        """Sends the final answer of a call that is refused; the reason is only logged and counted."""
         log.debug("call refused", call=offer.call, reason=reason.value, connection=connection.number)
         self.metrics.refusals[reason] += 1
         if offer.class_name in self.class_names:
@@ -255,50 +284,56 @@
         self.callers.send_waiting_releases(connection)
 
     def abort_call(self, connection: CallerConnection, call: str) -> None:
-        """A call whose caller can't go on with it: its one final answer, and nothing stays out for it."""
+        """Ends an open call that its caller cannot go on with: it fails, and its attempt is given up."""
         record = self.calls.records[call]
         self.end_call_for_caller(call, ReleaseCause.NORMAL)
-        self.fail(call, record)
+        self.fail_call(call, record)
 
     def caller_disconnected(self, connection: CallerConnection) -> None:
+        """Ends the open calls of a lost connection; its answered calls go on."""
         self.callers.remove(connection)
         for call in sorted(connection.open_calls):
             self.end_call_for_caller(call, ReleaseCause.NORMAL)
 
     def call_offered(self, connection: CallerConnection, offer: Offer) -> bool:
-        """Whether the call was taken, or refused for no fault of its own; it has its answer in any case."""
+        """Accepts, refuses or rejects a call; returns False if its set-up was not valid.
+
+        Not valid are a call identifier in use and an unknown class. A call that is not accepted has had its
+        final answer on return.
+        """
         call = offer.call
         if call in connection.open_calls:
-            # Two set-ups under one id on one connection: no answer could tell which of them it is for.
+            # Two set-ups with one identifier on one connection: an answer could not say which one it is for.
             self.abort_call(connection, call)
             return False
         if call in self.calls:
-            # The call of that id goes on, on its own connection.
+            # The call with this identifier goes on, on its own connection.
             connection.send_release(call, ReleaseCause.INVALID_CONTENTS)
             return False
         reason = self.refusal_reason(offer)
         if reason is not None:
-            self.refuse(connection, offer, self.config.settings.max_redial_after_ns, reason)
+            self.refuse_call(connection, offer, self.config.settings.max_redial_after_ns, reason)
             return reason is not it.RefusalReason.UNKNOWN_CLASS
-        self.take_call(connection, offer)
+        self.accept_call(connection, offer)
         return True
 
     def refusal_reason(self, offer: Offer) -> it.RefusalReason | None:
-        """Why a call is refused before the decisions hear of it; none if it is taken."""
+        """Returns why a call is refused without asking the policy; None if it is accepted."""
         if offer.class_name not in self.class_names:
-            return it.RefusalReason.UNKNOWN_CLASS  # the decisions would take it for their first class
+            return it.RefusalReason.UNKNOWN_CLASS  # the policy would treat it as its first class
         if self.calls.is_full:
             return it.RefusalReason.TABLE_FULL
-        # Guards the end of a connection that is to go and is never idle.
+        # Set-ups are refused so that a connection that is to be closed becomes idle at last.
         return it.RefusalReason.LEAVING if self.callers.refuses_set_ups(time.monotonic_ns()) else None
 
-    def take_call(self, connection: CallerConnection, offer: Offer) -> None:
+    def accept_call(self, connection: CallerConnection, offer: Offer) -> None:
+        """Adds a call to the table and offers it to the policy."""
         call, patience_ns = offer.call, offer.patience_ms * MS
         record = CallRecord(connection, offer, time.monotonic_ns() + patience_ns)
         self.calls.add(record)
-        self.watch(call, record)
+        self.restart_timer(call, record)
         log.debug("call offered", call=call, connection=connection.number, patience_ms=offer.patience_ms)
-        self.tell(
+        self.queue_event(
             it.CallOffered(
                 call=call,
                 class_name=offer.class_name,
@@ -314,7 +349,11 @@
         )
 
     def end_call_for_caller(self, call: str, cause: int) -> None:
-        """A give-up before the answer, a release after it, or a release of what stood before our start."""
+        """Ends a call that its caller no longer wants.
+
+        Before the answer the attempt in progress is given up, after it the release is passed to the exchange.
+        A release of an unknown call is passed to an exchange too: it may be of a call from before the start.
+        """
         record = self.calls.get(call)
         if record is None:
             if call not in self.calls.ended:
@@ -325,14 +364,15 @@
         if pool is not None and record.established_at_ns:
             pool.release(call, cause)
         else:
-            self.tell(it.CallerLeft(call))
+            self.queue_event(it.CallerLeft(call))
             if pool is not None:
                 pool.cancel_set_up(call)
         self.calls.end(call)
         if pool is not None:
-            self.tell(self.outcome(call, record, attempt, it.Ending.CANCELLED, over=True))
+            self.queue_event(self.attempt_outcome(call, record, attempt, it.Ending.CANCELLED, over=True))
 
     def release_to_any_exchange(self, call: str, cause: int) -> None:
+        """Sends a release to any connected exchange, or to the next one that connects."""
         pool = self.membership.first_open_pool()
         if pool is not None:
             pool.release(call, cause)
@@ -341,9 +381,10 @@
 
     # From exchanges
 
-    def outcome(
+    def attempt_outcome(
         self, call: str, record: CallRecord, attempt: int, ending: it.Ending, over: bool = False
     ) -> it.AttemptEnded:
+        """Returns the event for the end of an attempt; `over` where the call is over with it."""
         exchange = record.pool.exchange if record.pool is not None else ""
         delay_ns = time.monotonic_ns() - record.sent_at_ns
         return it.AttemptEnded(call, attempt, exchange, ending, delay_ns, over)
@@ -356,10 +397,11 @@
         wait_ns: int = 0,
         report: it.LoadReport | None = None,
     ) -> None:
+        """Reports the end of the attempt in progress to the policy; the call stays open."""
         record = self.calls.get(call)
         if record is None or record.pool is None or record.established_at_ns:
             return
-        outcome = self.outcome(call, record, record.attempts - 1, ending)
+        outcome = self.attempt_outcome(call, record, record.attempts - 1, ending)
         self.metrics.attempts_ended[ending] += 1
         log.debug(
             "attempt ended",
@@ -371,30 +413,34 @@
             delay_ms=outcome.delay_ns // MS,
         )
         record.pool = None
-        self.tell(replace(outcome, cause=cause, reported_wait_ns=wait_ns, report=report))
+        self.queue_event(replace(outcome, cause=cause, reported_wait_ns=wait_ns, report=report))
 
     def call_established(
         self, pool: ExchangePool, connection: ExchangeConnection, call: str, description: bytes
     ) -> None:
+        """Passes the answer of an exchange to the caller; the call stands from then on."""
         record = self.calls.get(call)
         if record is None or record.pool is not pool or record.established_at_ns:
             return
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         if not record.connection.send_answer(call, description):
-            # Guards against a call that stands for nobody: its connection is closing and has not told us yet.
+            # The caller's connection is closing and its loss is not reported yet. The call is released, so
+            # that it does not stand for a caller that is gone.
             pool.release(call, ReleaseCause.NORMAL)
             self.end_call_for_caller(call, ReleaseCause.NORMAL)
             return
-        self.calls.establish(record, pool, now)
+        self.calls.establish(record, pool, now_ns)
         pool.record_standing_call(connection, call, record.offer.circuits)
-        log.debug("call stands", call=call, exchange=pool.exchange, connection=record.connection.number)
+        log.debug("call answered", call=call, exchange=pool.exchange, connection=record.connection.number)
         self.metrics.passed[record.offer.class_name] += 1
-        self.tell(it.CallEstablished(call, record.attempts - 1, pool.exchange, now - record.sent_at_ns))
+        self.queue_event(
+            it.CallEstablished(call, record.attempts - 1, pool.exchange, now_ns - record.sent_at_ns)
+        )
 
     def released_by_exchange(
         self, pool: ExchangePool, call: str, cause: int, report: it.LoadReport | None
     ) -> None:
-        """The release of a call that stands, also of one that stood before our start."""
+        """Passes the release of a standing call to its caller, also of one from before the start."""
         record = self.calls.get(call)
         if record is None:
             if call not in self.calls.ended:
@@ -402,19 +448,22 @@
                 self.callers.release(call, cause, None)
         elif record.established_at_ns and record.pool is pool:
             ending = it.Ending.COMPLETED if cause == ReleaseCause.NORMAL else it.Ending.INTERRUPTED
-            outcome = self.outcome(call, record, record.attempts - 1, ending, over=True)
+            outcome = self.attempt_outcome(call, record, record.attempts - 1, ending, over=True)
             self.calls.end(call)
-            log.debug("call over", call=call, exchange=pool.exchange, cause=cause)
+            log.debug("call released", call=call, exchange=pool.exchange, cause=cause)
             self.callers.release(call, cause, record.connection)
-            self.tell(replace(outcome, report=report))
+            self.queue_event(replace(outcome, report=report))
 
     def set_up_sent(self) -> None:
+        """Counts a set-up that was sent to an exchange."""
         self.metrics.upstream_tries += 1
 
     def group_state_reported(self, exchange: str, report: it.LoadReport | None) -> None:
-        self.tell(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, report))
+        """Passes the reported state of an exchange and of the circuit group to it to the policy."""
+        self.queue_event(it.ProbeAnswer(exchange, it.Ending.COMPLETED, 0, report))
 
     def exchange_connected(self, pool: ExchangePool) -> None:
+        """Sends the releases that waited for any exchange."""
         waiting, self.waiting_releases = self.waiting_releases, {}
         for call, cause in waiting.items():
             pool.release(call, cause)
@@ -425,26 +474,35 @@
     def exchange_connection_lost(self, loss: ConnectionLoss) -> None:
         self.metrics.exchange_connections_lost[loss] += 1
 
-    # Calls that nobody will release any more
+    # Calls whose exchange will not release them any more
 
     def exchange_process_died(self, pool: ExchangePool) -> None:
+        """Releases every call of an exchange whose connections were lost and that refuses new ones."""
         self.process_gone(pool, time.monotonic_ns(), ReleaseReason.REFUSING)
 
     def process_gone(self, pool: ExchangePool, established_before_ns: int, reason: ReleaseReason) -> None:
-        """A process that is gone has cut the calls that stood before, and may have told nobody."""
+        """Releases the calls that were answered before a moment at a process that is gone.
+
+        The process has interrupted them, and may have notified nobody.
+        """
         standing = self.calls.standing_at(pool.exchange)
-        cut = [
+        interrupted = [
             call for call in standing if self.calls.records[call].established_at_ns < established_before_ns
         ]
-        self.cut(pool, cut, reason)
+        self.release_standing_calls(pool, interrupted, reason)
 
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
-        """The process that holds these calls may be alive and cut off: it is told too, once it can be."""
-        self.cut(pool, calls, ReleaseReason.LEASE_EXPIRED)
+        """Releases calls whose lease has expired.
+
+        The process that holds them may be alive and cut off, so it gets a release as well, once it is
+        reachable.
+        """
+        self.release_standing_calls(pool, calls, ReleaseReason.LEASE_EXPIRED)
         for call in calls:
             pool.release(call, ReleaseCause.TEMPORARY_FAILURE)
 
-    def cut(self, pool: ExchangePool, calls: list[str], reason: ReleaseReason) -> None:
+    def release_standing_calls(self, pool: ExchangePool, calls: list[str], reason: ReleaseReason) -> None:
+        """Releases calls to their callers in place of the exchange, and logs and counts them."""
         if not calls:
             return
         log.warning(
@@ -454,11 +512,12 @@
             released=len(calls),
             kept=len(self.calls.standing_at(pool.exchange)) - len(calls),
             silent_ms=pool.silent_ms(),
-            first_calls=calls[:CALLS_LOGGED],
+            first_calls=calls[:MAX_LOGGED_CALLS],
         )
         self.metrics.standing_released[reason] += len(calls)
         for call in calls:
             self.released_by_exchange(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
     def exchange_list_changed(self, event: it.ExchangeList) -> None:
-        self.tell(event)
+        """Reports a change of the list of exchanges to the policy."""
+        self.queue_event(event)
--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -184,7 +184,7 @@
             await self.process.wait()
         self.change_log.stop()
         text = self.log_path.read_text()
-        for sign in ("Traceback", "call without an answer at its end"):
+        for sign in ("Traceback", "call past its deadline without a final answer"):
             if sign in text:
                 self.run.ledger.breach("log", f"controller {self.index} logged {sign!r}", self.run.now)
 
