--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -494,8 +494,8 @@
     def leases_expired(self, pool: ExchangePool, calls: list[str]) -> None:
         """Releases calls whose lease has expired.
 
-        The process that holds them may be alive and cut off, so it gets a release as well, once it is
-        reachable.
+        The process that holds them may be alive and unreachable, so it gets the releases too, once it can be
+        reached.
         """
         self.release_standing_calls(pool, calls, ReleaseReason.LEASE_EXPIRED)
         for call in calls:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -238,7 +238,7 @@
             "changelog": self.changelog_listener.address,
             "known": {
                 "seq": 1,
-                "results": [change_event(1, instance_entry("far", 1, self.exchange.address), reset=True)],
+                "results": [change_event(1, instance_entry("x1", 1, self.exchange.address), reset=True)],
             },
             "settings": SETTINGS,
         }
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -247,7 +247,7 @@
 def test_the_calls_of_a_removed_exchange_are_released_to_their_caller(program: Program) -> None:
     caller = program.connect_caller()
     program.establish_call(caller)
-    removed = {**instance_entry("far", 1, program.exchange.address), "lifecycle": "removed"}
+    removed = {**instance_entry("x1", 1, program.exchange.address), "lifecycle": "removed"}
     program.publish(change_event(2, removed))
     assert caller.expect(MessageType.RELEASE).cause() == 41
     assert program.exchange.closed_connections.get(timeout=20)
@@ -302,15 +302,15 @@
 def test_the_change_log_is_followed_in_order_and_resumed_after_a_malformed_line(program: Program) -> None:
     other_exchange = Exchange()
     # An event that is known already is ignored.
-    program.publish({"seq": 1}, change_event(1, instance_entry("far", 1, "127.0.0.1:1", "removed")))
-    program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))
+    program.publish({"seq": 1}, change_event(1, instance_entry("x1", 1, "127.0.0.1:1", "removed")))
+    program.publish(change_event(2, instance_entry("x2", 2, other_exchange.address)))
     other_exchange.opened_connections.get(timeout=20)
     program.changelog_connection.socket.sendall(b"{not json\n")
     program.wait_for_log("malformed change-log line")
     program.changelog_connection.socket = program.changelog_listener.accept()
     assert program.changelog_connection.socket.recv(100) == b"since 2\n"
     # Event 3 is missing.
-    program.publish({"seq": 2}, change_event(4, instance_entry("near", 2, other_exchange.address, "removed")))
+    program.publish({"seq": 2}, change_event(4, instance_entry("x2", 2, other_exchange.address, "removed")))
     program.wait_for_log("malformed change-log line")
     reconnected = program.changelog_listener.accept()
     assert reconnected.recv(100) == b"since 2\n"
@@ -323,10 +323,10 @@
     # The program opens this one once it has received nothing on the first for 2.2 s.
     second = Peer(program.changelog_listener.accept())
     assert second.socket.recv(100) == b"since 1\n"
-    program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))  # on the first
+    program.publish(change_event(2, instance_entry("x2", 2, other_exchange.address)))  # on the first
     other_exchange.opened_connections.get(timeout=20)
     assert second.receive() is None
-    program.publish(change_event(3, instance_entry("near", 2, other_exchange.address, "removed")))
+    program.publish(change_event(3, instance_entry("x2", 2, other_exchange.address, "removed")))
     other_exchange.closed_connections.get(timeout=20)
 
 
@@ -355,13 +355,13 @@
     program.process.send_signal(signal.SIGHUP)
     program.changelog_connection.socket = moved.accept()
     assert program.changelog_connection.socket.recv(100) == b"since 1\n"
-    program.publish(change_event(2, instance_entry("near", 2, other_exchange.address)))
+    program.publish(change_event(2, instance_entry("x2", 2, other_exchange.address)))
     other_exchange.opened_connections.get(timeout=20)
     for invalid in ('{"name":', '{"limits": []}'):
         program.path.write_text(invalid)
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("configuration not taken")
-    program.publish(change_event(3, instance_entry("near", 2, other_exchange.address, "removed")))
+    program.publish(change_event(3, instance_entry("x2", 2, other_exchange.address, "removed")))
     program.exchange.release(CALL, 16)
     assert caller.expect(MessageType.RELEASE).cause() == 16
 
