--- a/arrowkeel/net/service.py
+++ b/arrowkeel/net/service.py
@@ -127,7 +127,7 @@
             self.state = ServiceState.STANDBY
             log.info("entered standby", **self.log_fields())
             self.controller.accepts_calls = False
-            self.controller.callers.start_departure(DrainPlan.standby(time.monotonic_ns()))
+            self.controller.callers.start_drain(DrainPlan.standby(time.monotonic_ns()))
         return self.state is ServiceState.STANDBY
 
     def leave_standby(self) -> bool:
@@ -136,7 +136,7 @@
             self.state = ServiceState.READY
             log.info("left standby", **self.log_fields())
             self.controller.accepts_calls = True
-            self.controller.callers.cancel_departure()
+            self.controller.callers.cancel_drain()
         return self.state is ServiceState.READY
 
     def log_fields(self) -> dict[str, int]:
@@ -168,9 +168,9 @@
         log.info("stopping", **self.log_fields())
         if self.config.accept_fd is not None:
             self.stop_accepting()
-            self.controller.callers.start_departure(DrainPlan.hand_over(now_ns, longest_wait_ns))
+            self.controller.callers.start_drain(DrainPlan.hand_over(now_ns, longest_wait_ns))
         else:
-            self.controller.callers.start_departure(DrainPlan.stop(now_ns, longest_wait_ns))
+            self.controller.callers.start_drain(DrainPlan.stop(now_ns, longest_wait_ns))
         self.check_finished()
 
     def stop_accepting(self) -> None:
@@ -188,7 +188,7 @@
         now_ns, callers, calls = time.monotonic_ns(), self.controller.callers, self.controller.calls
         if now_ns >= self.earliest_finish_ns:
             self.stop_accepting()
-        if callers.must_end_open_calls(now_ns):
+        if callers.must_answer_open_calls(now_ns):
             self.controller.fail_open_calls()
             self.finished.set_result(None)
         elif now_ns >= self.earliest_finish_ns and not calls.open_count and not callers.connections:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -17,7 +17,7 @@
 from arrowkeel.net.exchange_connection import ExchangeConnection, SetUpRequest
 from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE, ExchangePool
 from arrowkeel.net.metrics import ConnectionLoss
-from tests.peers import CALL, OTHER, Exchange, Listener, Peer, config_of
+from tests.peers import CALL, OTHER, Exchange, Listener, Peer, make_config
 
 
 class RecordingHandler:
@@ -71,7 +71,7 @@
     async def run() -> None:
         host, _, port = address.rpartition(":")
         handler = RecordingHandler()
-        pool = ExchangePool("x", Address(host, int(port)), handler, config_of())
+        pool = ExchangePool("x", Address(host, int(port)), handler, make_config())
         try:
             await asyncio.wait_for(scenario(pool, handler), 20)
         finally:
@@ -128,11 +128,12 @@
     async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
         connections = [
-            await asyncio.to_thread(exchange.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)
+            await asyncio.to_thread(exchange.opened_connections.get, timeout=20)
+            for _ in range(CONNECTIONS_PER_EXCHANGE)
         ]
         exchange.listener.socket.shutdown(socket.SHUT_RDWR)
         exchange.listener.socket.close()
-        exchange.drop(*connections, reset=end == "reset")
+        exchange.disconnect(*connections, reset=end == "reset")
         while await handler.reported.get() != ("died",):
             pass
 
@@ -146,7 +147,8 @@
     async def scenario(pool: ExchangePool, handler: RecordingHandler) -> None:
         pool.dial()
         connections = [
-            await asyncio.to_thread(exchange.opened.get, timeout=20) for _ in range(CONNECTIONS_PER_EXCHANGE)
+            await asyncio.to_thread(exchange.opened_connections.get, timeout=20)
+            for _ in range(CONNECTIONS_PER_EXCHANGE)
         ]
         for connection in connections:
             connection.send(MessageType.GROUP_STATE, "0" * 16, {Parameter.REPORT: "idle:7;circuits:60"})
@@ -190,7 +192,7 @@
         pool.release("f" * 16, 16)
         received: list[tuple[int, str]] = []
         while not received or received[-1] != (MessageType.RELEASE, "f" * 16):
-            _, message = await asyncio.to_thread(exchange.came.get, timeout=20)
+            _, message = await asyncio.to_thread(exchange.received.get, timeout=20)
             received.append((message.type, message.call))
         assert received.count((MessageType.RELEASE, CALL)) == 1 and (MessageType.RELEASE, third) in received
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,7 +15,7 @@
 from arrowkeel.net.config import ClockOffset, read_config
 from arrowkeel.net.exchange_pool import CONNECTIONS_PER_EXCHANGE
 from arrowkeel.net.service import Service
-from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
+from tests.peers import CALL, OTHER, TIMEOUT_S, Peer, Program, running_program
 
 THIRD = "00000000000000c3"
 EARLIER_METRICS = {
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def program(tmp_path: Path) -> Iterator[Program]:
-    with running(tmp_path) as program:
+    with running_program(tmp_path) as program:
         yield program
 
 
@@ -43,25 +43,25 @@
 
 def test_operators_are_answered_despite_silent_and_incomplete_requests(program: Program) -> None:
     """Connections without a complete request, more than are allowed at once, must not keep operators out."""
-    silent = [socket.create_connection(program.operator_api, PATIENCE_S) for _ in range(60)]
+    silent = [socket.create_connection(program.operator_address, TIMEOUT_S) for _ in range(60)]
     silent[-1].sendall(b"GET /sta")
-    assert program.ask("GET", "/status")[0] == 200
-    assert [program.ask(*call)[0] for call in (("POST", "/status"), ("GET", "/x"), ("?", "/status"))] == [
+    assert program.request("GET", "/status")[0] == 200
+    assert [program.request(*call)[0] for call in (("POST", "/status"), ("GET", "/x"), ("?", "/status"))] == [
         405,
         404,
         400,
     ]
-    assert program.ask("GET", "/" + "x" * 9000)[0] == 413
+    assert program.request("GET", "/" + "x" * 9000)[0] == 413
 
 
 def test_metrics_count_what_peers_observed(program: Program) -> None:
-    caller = program.caller()
-    program.standing(caller)
-    caller.set_up(OTHER, dest=9)
+    caller = program.connect_caller()
+    program.establish_call(caller)
+    caller.set_up(OTHER, destination=9)
     caller.expect(MessageType.RELEASE, OTHER)
     caller.set_up(THIRD)
     program.exchange.expect(MessageType.SET_UP, THIRD)
-    lines = program.ask("GET", "/status/metrics")[1].splitlines()
+    lines = program.request("GET", "/status/metrics")[1].splitlines()
     counters = {
         name: int(value) for name, value in (line[:-2].split(":") for line in lines if line[-1] == "c")
     }
@@ -89,12 +89,12 @@
 
 
 def test_standby_closes_callers_connections_and_active_accepts_them_again(program: Program) -> None:
-    busy, idle = program.caller(), program.caller()
-    program.standing(busy, THIRD)
+    busy, idle = program.connect_caller(), program.connect_caller()
+    program.establish_call(busy, THIRD)
     busy.set_up()
     program.exchange.expect(MessageType.SET_UP)
-    idle.tested()
-    assert program.ask("POST", "/standby")[0] == 200 and program.ask("GET", "/status")[0] == 503
+    idle.wait_until_processed()
+    assert program.request("POST", "/standby")[0] == 200 and program.request("GET", "/status")[0] == 503
     assert idle.receive() is None
     assert run_connection_test(busy) == b"\x00"
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
@@ -106,19 +106,19 @@
     program.exchange.release(THIRD, 16)
     busy.expect(MessageType.RELEASE, THIRD)
     assert busy.receive() is None
-    assert program.ask("POST", "/active")[0] == 200 and program.ask("GET", "/status")[0] == 200
-    returned = program.caller()
+    assert program.request("POST", "/active")[0] == 200 and program.request("GET", "/status")[0] == 200
+    returned = program.connect_caller()
     assert run_connection_test(returned) == b"\x01"
-    program.standing(returned, OTHER)
+    program.establish_call(returned, OTHER)
 
 
 def test_in_standby_a_connection_stays_open_until_its_calls_are_released(program: Program) -> None:
-    caller, other = program.caller(), program.caller()
-    program.standing(caller)
-    program.standing(other, THIRD)
+    caller, other = program.connect_caller(), program.connect_caller()
+    program.establish_call(caller)
+    program.establish_call(other, THIRD)
     program.exchange.release(THIRD, 16)
     other.expect(MessageType.RELEASE, THIRD)
-    assert program.ask("POST", "/standby")[0] == 200
+    assert program.request("POST", "/standby")[0] == 200
     assert other.receive() is None, "a connection without calls must be closed"
     time.sleep(4.2)  # longer than the last connection stays open without calls, to carry releases
     caller.set_up(OTHER)
@@ -128,23 +128,23 @@
     caller.expect(MessageType.RELEASE)
     assert caller.receive() is None
     program.exchange.release(CALL, 16)  # a repeated release must not be kept for the next caller
-    assert program.ask("POST", "/active")[0] == 200
-    program.standing(program.caller(), "00000000000000d4")
+    assert program.request("POST", "/active")[0] == 200
+    program.establish_call(program.connect_caller(), "00000000000000d4")
 
 
 def test_a_release_in_standby_waits_for_a_caller_and_is_not_sent_to_a_front_end(program: Program) -> None:
     """A front end only tests connections and passes no releases on: one that is sent to it is lost."""
-    caller = program.caller()
-    program.standing(caller)
+    caller = program.connect_caller()
+    program.establish_call(caller)
     caller.socket.close()  # while its call is standing
-    assert program.ask("POST", "/standby")[0] == 200
+    assert program.request("POST", "/standby")[0] == 200
     time.sleep(2.0)  # after which set-ups are refused
-    front_ends = [program.caller()]
+    front_ends = [program.connect_caller()]
     assert run_connection_test(front_ends[0]) == b"\x00"
     program.exchange.release(CALL, 16)
-    front_ends.append(program.caller())
+    front_ends.append(program.connect_caller())
     assert run_connection_test(front_ends[1]) == b"\x00"
-    returned = program.caller()
+    returned = program.connect_caller()
     returned.set_up(OTHER)
     returned.expect(MessageType.RELEASE, OTHER)  # so long after the switch to standby, set-ups are refused
     assert returned.expect(MessageType.RELEASE).cause() == 16
@@ -168,7 +168,7 @@
         service.stop()
         assert await reader.read() == b"" and time.monotonic_ns() >= service.earliest_finish_ns
         writer.close()
-        await asyncio.wait_for(service.finished, PATIENCE_S)
+        await asyncio.wait_for(service.finished, TIMEOUT_S)
         await service.shut_down()
 
     asyncio.run(run())
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize("descriptor", ["x", "-1", "999"])
 def test_an_unusable_listening_descriptor_is_reported(tmp_path: Path, descriptor: str) -> None:
     process = Program(tmp_path).launch(LB_ACCEPT_FD=descriptor)
-    output, _ = process.communicate(timeout=PATIENCE_S)
+    output, _ = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2 and output.count("\n") == 1 and "LB_ACCEPT_FD" in output
 
 
@@ -185,30 +185,30 @@
     """Both processes inherit the same socket; the first one ends only after its open call was answered."""
     program, listening = Program(tmp_path), socket.create_server(("127.0.0.1", 0))
     listening.set_inheritable(True)
-    program.held = listening
+    program.listening_socket = listening
     program.start()
     first = program.process
     try:
-        caller, idle = program.caller(), program.caller()
+        caller, idle = program.connect_caller(), program.connect_caller()
         caller.set_up()
         program.exchange.expect(MessageType.SET_UP)
-        idle.tested()
+        idle.wait_until_processed()
         program.start()
         first.terminate()
         assert idle.receive() is None
         program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
         caller.expect(MessageType.ANSWER)
-        assert caller.receive() is None and first.wait(PATIENCE_S) == 0
-        later_caller = program.caller()
-        program.standing(later_caller, OTHER)
+        assert caller.receive() is None and first.wait(TIMEOUT_S) == 0
+        later_caller = program.connect_caller()
+        program.establish_call(later_caller, OTHER)
         for _ in range(CONNECTIONS_PER_EXCHANGE):
-            program.exchange.ended.get(timeout=PATIENCE_S)
+            program.exchange.closed_connections.get(timeout=TIMEOUT_S)
         program.exchange.release(CALL, 16)  # of a call that was established before this process started
         assert later_caller.expect(MessageType.RELEASE).cause() == 16
     finally:
         for process in (first, program.process):
             process.kill()
-            process.wait(PATIENCE_S)
+            process.wait(TIMEOUT_S)
             if process.stdout is not None:
                 process.stdout.close()
         listening.close()
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -10,7 +10,7 @@
 import pytest
 
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause, encode
-from tests.peers import CALL, OTHER, PATIENCE_S, Peer, Program, running
+from tests.peers import CALL, OTHER, TIMEOUT_S, Peer, Program, running_program
 
 ACCEPTING_S = 0.7  # for this long after SIGTERM set-ups are accepted as before
 KILL_AFTER_S = 3.7  # shortest time between SIGTERM and SIGKILL
@@ -19,19 +19,19 @@
 
 @pytest.fixture
 def program(tmp_path: Path) -> Iterator[Program]:
-    with running(tmp_path) as program:
+    with running_program(tmp_path) as program:
         yield program
 
 
 def terminate(program: Program) -> float:
     """Sends SIGTERM, waits until the program logs its stop, and returns the time then."""
     program.process.send_signal(signal.SIGTERM)
-    program.logged("stopping")
+    program.wait_for_log("stopping")
     return time.monotonic()
 
 
 def test_late_set_ups_are_refused_at_once_with_a_redial_time(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     stop_began_at = terminate(program)
@@ -42,36 +42,36 @@
     assert refusal.cause() == ReleaseCause.CONGESTION and refusal.integer(Parameter.REDIAL_AFTER) == 2000
     program.exchange.send(MessageType.ANSWER, CALL, {Parameter.DESCRIPTION: b"answer"})
     caller.expect(MessageType.ANSWER)
-    assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
+    assert caller.receive() is None and program.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - stop_began_at < KILL_AFTER_S
 
 
 def test_an_unanswered_call_fails_before_the_process_may_be_killed(program: Program) -> None:
-    caller = program.caller()
+    caller = program.connect_caller()
     caller.set_up()
     program.exchange.expect(MessageType.SET_UP)
     stop_began_at = terminate(program)
     assert caller.expect(MessageType.RELEASE).cause() == ReleaseCause.TEMPORARY_FAILURE
     assert program.exchange.expect(MessageType.RELEASE).cause() == ReleaseCause.NORMAL
-    assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
+    assert caller.receive() is None and program.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - stop_began_at < KILL_AFTER_S
 
 
 def test_idle_connections_are_closed_and_further_signals_change_nothing(program: Program) -> None:
-    idle = [program.caller() for _ in range(3)]
+    idle = [program.connect_caller() for _ in range(3)]
     stop_began_at = terminate(program)
     program.process.send_signal(signal.SIGHUP)
     program.process.send_signal(signal.SIGTERM)
     for caller in idle:
         assert caller.receive() is None
-    assert program.process.wait(PATIENCE_S) == 0
+    assert program.process.wait(TIMEOUT_S) == 0
     assert ACCEPTING_S < time.monotonic() - stop_began_at < ACCEPTING_S + 1.0
 
 
 def test_a_set_up_that_arrives_in_pieces_during_the_stop_is_answered(program: Program) -> None:
     """A connection with an incomplete message is not closed before the message had time to arrive."""
-    caller = program.caller()
-    program.standing(caller)
+    caller = program.connect_caller()
+    program.establish_call(caller)
     message = encode(
         MessageType.SET_UP,
         OTHER,
@@ -88,7 +88,7 @@
         caller.socket.sendall(message[offset : offset + 20])
         time.sleep(1.5 * 20 / len(message))  # 1.5 s for the whole message
     assert caller.expect(MessageType.RELEASE, OTHER).cause() == ReleaseCause.CONGESTION
-    assert caller.receive() is None and program.process.wait(PATIENCE_S) == 0
+    assert caller.receive() is None and program.process.wait(TIMEOUT_S) == 0
     assert time.monotonic() - stop_began_at < KILL_AFTER_S
 
 
@@ -97,9 +97,9 @@
     program: Program, ending: str
 ) -> None:
     """A release written to a connection whose end was not read yet never reaches the caller there."""
-    first, second = program.caller(), program.caller()
-    program.standing(first)
-    program.standing(second, THIRD)
+    first, second = program.connect_caller(), program.connect_caller()
+    program.establish_call(first)
+    program.establish_call(second, THIRD)
     # Paused, so that it reads both events in the same iteration of its loop.
     program.process.send_signal(signal.SIGSTOP)
     if ending == "reset":
