--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -357,7 +357,7 @@
             )
 
     def on_call_offered(self, event: it.CallOffered, now_ns: int) -> None:
-        """Accepts a call, determines its target, deadline and worth, and decides on it."""
+        """Accepts a call, determines its target, worth and longest time in the queue, and decides on it."""
         arrived_at_ns, is_identifiable = self.event_arrived_at_ns, event.number_called and not event.transit
         # A redial keeps the target of the first attempt, unless it is made because the call was interrupted.
         first_at_ns = (
@@ -546,7 +546,8 @@
     def draw_tandem(self, call: Call, direct_route: ExchangeRoute, now_ns: int) -> ExchangeRoute | None:
         """Draws a tandem at random, weighted by its success towards the destination and its free circuits.
 
-        Candidates are the tandems with a weight, the advised one and a random sample of the others.
+        Candidates are the tandems with a weight, the advised one and a random sample of all; those that are
+        not usable now are left out.
         """
         tandem_numbers = self.remote_numbers if self.settings.is_mesh else call.exchange_numbers
         # Returned calls show that the mesh is full: the more there are, the less often untried tandems are
@@ -610,10 +611,10 @@
             return 0.0
         budget_share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age_ns / warm_up_ns
         sender_count = 1 if processor is self.local_processor else self.settings.controllers
-        # The part follows what callers ask of this processor. What is sent to it would be the wrong measure:
-        # it is little during a failure, whatever its cause, and would starve an exchange that comes back. A
-        # mean over all pairs of exchanges is too little for busy pairs and more than quiet ones use. The
-        # drawback: calls of a flood count like usual ones.
+        # The part follows what callers ask of this processor; it is counted for each processor, not as a mean
+        # over all of them. What is sent to it would be the wrong measure: it is little during a failure,
+        # whatever its cause, and would starve an exchange that comes back. The drawback: calls of a flood
+        # count like usual ones.
         demand_per_s = (
             processor.demand.count(now_ns)
             * NS_PER_S
@@ -640,6 +641,8 @@
             # The interval to the next trial call starts now, not when the caller of this one gives up.
             route.processor.mark_silent(now_ns, self.random_spread())
         elif route.processor.sent.count(now_ns, route.processor.base_validity_ns) > 1:
+            # Where only probes report the load, an exchange that got more than one call within the validity
+            # time is probed in any state.
             self.send_probe_if_due(route, self.probe_interval_ns, now_ns)
         self.local_processor.record_sent(now_ns)
         self.actions.append(it.SetUp(call.id, route.exchange))  # abandoned when the caller's patience ends
@@ -724,11 +727,12 @@
             or event.cause is it.FailureCause.LINES_BUSY
             or now_ns >= call.patience_ends_at_ns
         ):
-            # Any other error is a signalling fault, after which the call is tried again.
+            # NUMBER_BUSY with another cause is a signalling fault, after which the call is tried again.
             self.close_call(call.id, it.Fail(call.id))
         else:
             if event.ending in (it.Ending.NO_ANSWER, it.Ending.INTERRUPTED, it.Ending.CANCELLED):
-                # Rule 5: the release is awaited.
+                # After an attempt without a definite result its circuits may still be occupied until the
+                # release guard time is over; no new attempt starts before.
                 call.earliest_attempt_at_ns = now_ns + self.settings.release_guard_ns
             self.decide_call(call, now_ns)
 
@@ -826,6 +830,7 @@
         ):
             del self.queued_calls[call.id]
             self.decide_call(call, now_ns)
+        # A probe of the local exchange reports the load of the local processor.
         self.send_probe_if_due(
             self.routes_by_number.get(self.settings.own_number), PROBE_INTERVAL_NS // 2, now_ns
         )
