--- a/arrowkeel/interface.py
+++ b/arrowkeel/interface.py
@@ -1,8 +1,13 @@
 """Types of the decision module's interface: its settings, the events it takes and the actions it returns.
 
-`arrowkeel.policy.Policy` makes the decisions; this module makes none. Times are integer nanoseconds of one
-monotonic clock of arbitrary origin. An exchange has two names: its `exchange` identifier, which belongs to
-one machine and differs for a replacement, and its `number`, which is its place in the mesh and stays.
+`arrowkeel.policy.Policy` makes the decisions; this module makes none. Its user passes events in batches, in
+the order of their arrival, and carries out the actions that it returns for each batch, in their order. A call
+begins with `CallOffered`, each `SetUp` leads to `CallEstablished` or `AttemptEnded`, and a call that is not
+established gets one final answer, `Refuse` or `Fail`, unless its caller leaves or the call ends first.
+
+Times are integer nanoseconds of one monotonic clock of arbitrary origin. An exchange has two names: its
+`exchange` identifier, which belongs to one machine and differs for a replacement, and its `number`, which is
+its place in the mesh and stays.
 """
 
 from __future__ import annotations
@@ -251,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswer:
-    """Event: the end of a probe or, with COMPLETED and `delay_ns` 0, a new state of the own circuit group."""
+    """Event: a probe's end or, with COMPLETED and `delay_ns` 0, a new state of the circuit group to it."""
 
     exchange: str
     ending: Ending
