--- a/arrowkeel/processor.py
+++ b/arrowkeel/processor.py
@@ -233,7 +233,7 @@
         return max(drained_at_ns, self.expires_at_ns) if self.state == BLOCKING else drained_at_ns
 
     def admits(self, now_ns: int, tolerance: float) -> bool:
-        """Whether a call may pass now; if not, the call counts as throttled."""
+        """Whether a call may pass now; if not, it counts as throttled, unless the processor is silent."""
         if self.next_admission_at_ns(now_ns, tolerance) <= now_ns:
             return self.is_silent or self.state != BLOCKING
         self.throttled_at_ns = self.throttled_at_ns if self.is_silent else now_ns
