--- a/arrowkeel/departure.py
+++ b/arrowkeel/departure.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 MS = 1_000_000
-# No connection is closed earlier: a set-up may be on its way on an idle connection, and new connections still
-# arrive for a while.
+# No connection is closed sooner than this after draining began or after it was accepted: a set-up may be on
+# its way on an idle connection, and new connections still arrive for a while.
 CLOSE_GRACE_NS = 300 * MS
 # Set-ups are accepted for this long after standby was requested or a hand-over has begun: 4 s after the
 # request no connection may carry a set-up of the last 2 s.
