--- a/arrowkeel/drill.py
+++ b/arrowkeel/drill.py
@@ -11,7 +11,8 @@
 from arrowkeel import wire
 from arrowkeel.policy import Policy
 
-# How many calls, and how many exchanges, a controller is known to have met: bounds the memory of a long run.
+# How many calls, and how many exchanges, are remembered as known to a controller: bounds the memory of a long
+# run.
 MAX_RECENT_NAMES = 50_000
 
 
@@ -64,6 +65,7 @@
         self.list_entries: list[it.ListedExchange] = []
 
     def report_error(self, message: str) -> None:
+        """Writes an error message with the number of the current line."""
         print(f"line {self.line_number}: {message}", file=self.errors, flush=True)
 
     def run(self, lines: TextIO) -> int:
