--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,8 +1,12 @@
-"""The five rules of call control, one by one: each test fails if the code that keeps its rule is removed.
-
-Rule 1: each call gets one final answer in time. Rule 2: one attempt of a call at a time. Rule 3: no new
-set-ups to an exchange that drains or is gone. Rule 4: an exchange that has just started gets no more than
-its budget. Rule 5: a call is sent again only after the release of an attempt whose outcome is uncertain.
+"""The five rules of call control, one by one: each test of a rule fails if the code that keeps it is removed.
+
+Rule 1: a call that is not established gets one final answer, by the end of its caller's patience, and is not
+sent after that answer or after its caller has left.
+Rule 2: a call never has two attempts in progress at once.
+Rule 3: no new set-up is sent to an exchange that drains or is gone.
+Rule 4: in any window an exchange that has just started gets at most `cold_multiple` times what it can handle.
+Rule 5: after an attempt whose outcome is uncertain, no new attempt of the call starts before the release
+guard time is over.
 """
 
 from __future__ import annotations
