--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -54,10 +54,7 @@
 
 @pytest.mark.parametrize(("longest_ms", "sigkill_ms"), [(9000, 3700), (1000, 1700)])
 def test_all_open_calls_are_answered_before_sigkill_may_come(longest_ms: int, sigkill_ms: int) -> None:
-    for plan in (
-        DrainPlan.stop(START, longest_ms * MS),
-        DrainPlan.hand_over(START, longest_ms * MS),
-    ):
+    for plan in (DrainPlan.stop(START, longest_ms * MS), DrainPlan.hand_over(START, longest_ms * MS)):
         assert not plan.must_answer_open_calls(START + (sigkill_ms - 300) * MS)
         assert plan.must_answer_open_calls(START + (sigkill_ms - 200) * MS)
     assert not DrainPlan.standby(START).must_answer_open_calls(START + 60_000 * MS)
