--- a/arrowkeel/policy.py
+++ b/arrowkeel/policy.py
@@ -611,10 +611,10 @@
             return 0.0
         budget_share = self.settings.cold_share + (1.0 - self.settings.cold_share) * age_ns / warm_up_ns
         sender_count = 1 if processor is self.local_processor else self.settings.controllers
-        # The part follows what callers ask of this processor; it is counted for each processor, not as a mean
-        # over all of them. What is sent to it would be the wrong measure: it is little during a failure,
-        # whatever its cause, and would starve an exchange that comes back. The drawback: calls of a flood
-        # count like usual ones.
+        # The part follows what callers ask of this processor. What is sent to it would be the wrong measure:
+        # it is little during a failure, whatever its cause, and would starve an exchange that comes back.
+        # With a mean over all pairs of exchanges, busy pairs had half of their calls refused, and pairs with
+        # little traffic left their part unused. The drawback: calls of a flood count like usual ones.
         demand_per_s = (
             processor.demand.count(now_ns)
             * NS_PER_S
