--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -16,7 +16,7 @@
 from tests.standins.callers import StandInCallers
 from tests.standins.change_log import Mode, StandInChangeLog
 from tests.standins.exchange import StandInExchange
-from tests.standins.ledger import DRAIN_S, SLACK_S, Ledger
+from tests.standins.ledger import DRAIN_GRACE_S, TOLERANCE_S, Ledger
 
 CONTROLLERS, EXCHANGES = 1, 4
 FAULTS_S = 12.0  # faults begin within so long
@@ -118,7 +118,7 @@
             else:
                 writer.close()
                 return
-        self.run.ledger.breach("start", f"controller {self.index} is not ready", self.run.now)
+        self.run.ledger.record_violation("start", f"controller {self.index} is not ready", self.run.now)
 
     def signal(self, number: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
@@ -141,7 +141,7 @@
             self.signal(signal.SIGKILL)
             await self.process.wait()
         if not outright and self.process.returncode not in (0, -signal.SIGKILL):
-            self.run.ledger.breach(
+            self.run.ledger.record_violation(
                 "crash", f"controller {self.index} ended with {self.process.returncode}", self.run.now
             )
         self.callers.is_there = False
@@ -177,7 +177,7 @@
     async def end(self) -> None:
         if self.process is not None:
             if self.process.returncode not in (None, 0) and not self.is_stopping:
-                self.run.ledger.breach(
+                self.run.ledger.record_violation(
                     "crash", f"controller {self.index} ended with {self.process.returncode}", self.run.now
                 )
             self.signal(signal.SIGKILL)
@@ -186,7 +186,9 @@
         text = self.log_path.read_text()
         for sign in ("Traceback", "call without an answer at its end"):
             if sign in text:
-                self.run.ledger.breach("log", f"controller {self.index} logged {sign!r}", self.run.now)
+                self.run.ledger.record_violation(
+                    "log", f"controller {self.index} logged {sign!r}", self.run.now
+                )
 
 
 class Run:
@@ -245,7 +247,7 @@
         for controller in self.controllers:
             for task in list(controller.callers.tasks):
                 task.cancel()
-        self.ledger.check(self.now)
+        self.ledger.check_unfinished_calls(self.now)
         for controller in self.controllers:
             await controller.end()
         for exchange in self.exchanges:
@@ -253,11 +255,11 @@
         return self.result()
 
     def result(self) -> Result:
-        counts: dict[str, int] = {"cut live": self.ledger.cut_live}
+        counts: dict[str, int] = {"cut live": self.ledger.standing_calls_released}
         for controller in self.controllers:
             for name, count in controller.callers.counts.items():
                 counts[name] = counts.get(name, 0) + count
-        return Result(self.seed, self.ledger.breaches, counts, self.faults)
+        return Result(self.seed, self.ledger.violations, counts, self.faults)
 
     # Faults
 
@@ -391,7 +393,7 @@
             told = [controller.change_log.counts_as_told(seq) for controller in self.controllers]
             known = [at for at in told if at is not None]
             if len(known) == len(told):
-                exchange.refuses_after = max(known) + DRAIN_S + SLACK_S
+                exchange.refuses_after = max(known) + DRAIN_GRACE_S + TOLERANCE_S
             await asyncio.sleep(0.05)
 
     async def reload(self) -> None:
--- a/tests/standins/callers.py
+++ b/tests/standins/callers.py
@@ -134,7 +134,7 @@
         def offered(side: CallerSide) -> None:
             self.counts["offered"] += 1
             side.sent[call] = (self.now, message)
-            self.ledger.offered(call, self.index, self.now, patience)
+            self.ledger.record_set_up_sent(call, self.index, self.now, patience)
 
         used = await self.write(side, message, offered)
         if used is None:
@@ -146,7 +146,7 @@
             self.loop.call_later(self.random.uniform(0, 0.1), side.reset)
         await asyncio.sleep(patience + 0.6)
         record = self.ledger.calls[call]
-        refused = bool(record.finals) and record.finals[0][1] == "refused"
+        refused = bool(record.final_responses) and record.final_responses[0][1] == "refused"
         if refused and retries and self.random.random() < 0.5:
             await self.call(retries - 1)
 
@@ -192,7 +192,7 @@
 
     def void(self, call: str) -> None:
         self.counts["void"] += 1
-        self.ledger.void(call)
+        self.ledger.exempt_call(call)
 
     def take(self, side: CallerSide, message: Message) -> None:
         call = message.call
@@ -201,24 +201,24 @@
         if message.type == MessageType.ANSWER:
             side.sent.pop(call, None)
             self.counts["answered"] += 1
-            self.ledger.answered(call, self.now, message.parameters[Parameter.DESCRIPTION])
+            self.ledger.record_answer(call, self.now, message.parameters[Parameter.DESCRIPTION])
             self.standing[call] = None
             if self.random.random() < 0.2:
                 self.loop.call_later(self.random.uniform(0, 2.0), self.hang_up, call)
         elif message.type == MessageType.RELEASE and call in self.standing:
             del self.standing[call]
-            self.ledger.released_to_caller(call, self.now)
+            self.ledger.record_release_to_caller(call, self.now)
         elif message.type == MessageType.RELEASE and call in side.sent:
             del side.sent[call]
             kind = "refused" if message.cause() in REFUSALS else "failed"
             self.counts[kind] += 1
-            self.ledger.final(call, self.now, kind)
+            self.ledger.record_final_response(call, self.now, kind)
 
     def hang_up(self, call: str) -> None:
         side = next((side for side in self.connections if side.is_open and not side.busy), None)
         if call in self.standing and side is not None:
             del self.standing[call]
-            self.ledger.calls[call].released = self.now
+            self.ledger.calls[call].released_at_s = self.now
             side.write(encode(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((ReleaseCause.NORMAL,))}))
 
     def lost(self, side: CallerSide) -> None:
@@ -232,7 +232,9 @@
             elif self.now - sent <= CROSSING_S:
                 self.spawn(self.again(call, message))
             else:  # it stays without an answer, which the ledger finds
-                self.ledger.calls[call].note += f"closed {self.now:.3f}, {self.now - sent:.3f} s after it; "
+                self.ledger.calls[
+                    call
+                ].connection_notes += f"closed {self.now:.3f}, {self.now - sent:.3f} s after it; "
 
     async def again(self, call: str, message: bytes) -> None:
         side = await self.connect()
@@ -240,7 +242,7 @@
             self.void(call)  # nobody takes connections: it was not taken
             return
         side.sent[call] = (self.now - CROSSING_S, message)  # not a third time
-        self.ledger.calls[call].note += f"sent again at {self.now:.3f}; "
+        self.ledger.calls[call].connection_notes += f"sent again at {self.now:.3f}; "
         side.write(message)
 
     def controller_ended(self, outright: bool) -> None:
@@ -263,7 +265,7 @@
         while side.is_open and self.now < began + 3.5:
             await asyncio.sleep(0.1)
         if side.is_open and self.is_there:
-            self.ledger.breach("bad client", "no close within 3 s", self.now)
+            self.ledger.record_violation("bad client", "no close within 3 s", self.now)
         side.reset()
 
     async def crowd(self, size: int) -> None:
--- a/tests/standins/exchange.py
+++ b/tests/standins/exchange.py
@@ -72,7 +72,7 @@
             for message in self.decoder.feed(data):
                 self.exchange.take(self, message)
         except MalformedMessageError as error:
-            self.exchange.ledger.breach("message", f"from a controller: {error}", self.exchange.now)
+            self.exchange.ledger.record_violation("message", f"from a controller: {error}", self.exchange.now)
             self.reset()
 
     def send(self, kind: int, call: str, parameters: dict[Any, Any] | None = None) -> None:
@@ -151,7 +151,7 @@
             self.connections.remove(connection)
         for call, held in list(self.held.items()):
             if held.connection is connection and not held.stands:
-                self.end_attempt(call, is_clear=False)
+                self.end_attempt(call, has_definite_end=False)
 
     def take(self, connection: ExchangeSide, message: Message) -> None:
         if self.is_hung:
@@ -163,13 +163,17 @@
 
     def set_up(self, connection: ExchangeSide, message: Message) -> None:
         if self.refuses_after is not None and self.now > self.refuses_after:
-            self.ledger.breach("drain", f"{self.name} has a set-up {message.call} after its drain", self.now)
+            self.ledger.record_violation(
+                "drain", f"{self.name} has a set-up {message.call} after its drain", self.now
+            )
         is_late = self.is_waking or self.now < self.proxy.late_until
         if message.call in self.held and not is_late:
-            self.ledger.breach("duplicate", f"{self.name} has the set-up {message.call} twice", self.now)
+            self.ledger.record_violation(
+                "duplicate", f"{self.name} has the set-up {message.call} twice", self.now
+            )
             return
-        attempt = self.ledger.reached(message.call, self.name, self.now)
-        attempt.is_excused = is_late
+        attempt = self.ledger.record_attempt(message.call, self.name, self.now)
+        attempt.is_unobservable = is_late
         self.held[message.call] = Held(connection, attempt)
         self.tell_state()
         self.loop.call_later(self.random.uniform(*SERVICE_S), self.serve, message.call, attempt)
@@ -188,7 +192,7 @@
 
     def refuse(self, call: str, cause: int, parameters: dict[Any, Any]) -> None:
         held = self.held[call]
-        self.end_attempt(call, is_clear=True)
+        self.end_attempt(call, has_definite_end=True)
         held.connection.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,)), **parameters})
         self.tell_state()
 
@@ -222,8 +226,8 @@
                 transport.write(message[: len(message) // 2])
 
     def stand(self, call: str, held: Held, description: bytes) -> None:
-        held.stands, held.attempt.ended = True, self.now
-        self.ledger.established(call, self.now, description)
+        held.stands, held.attempt.ended_at_s = True, self.now
+        self.ledger.record_established(call, self.now, description)
         self.loop.call_later(self.random.expovariate(1 / self.hold_s), self.complete, call, held)
 
     def complete(self, call: str, held: Held) -> None:
@@ -238,7 +242,9 @@
         if target is not None:
             target.send(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((ReleaseCause.NORMAL,))})
         self.untold[call] = ReleaseCause.NORMAL
-        self.ledger.over(call, self.now, was_told=target is not None and self.is_reachable)
+        self.ledger.record_call_over(
+            call, self.now, release_was_sent=target is not None and self.is_reachable
+        )
         self.told_at[call] = self.now
         self.tell_state()
 
@@ -249,16 +255,16 @@
         if held.stands:
             del self.held[call]
             record = self.ledger.calls.get(call)
-            if record is not None and record.over is None:
-                record.over = self.now
-                record.released = record.released or self.now
+            if record is not None and record.over_at_s is None:
+                record.over_at_s = self.now
+                record.released_at_s = record.released_at_s or self.now
         else:
-            self.end_attempt(call, is_clear=False)
+            self.end_attempt(call, has_definite_end=False)
         self.tell_state()
 
-    def end_attempt(self, call: str, is_clear: bool) -> None:
+    def end_attempt(self, call: str, has_definite_end: bool) -> None:
         held = self.held.pop(call)
-        held.attempt.ended, held.attempt.is_clear = self.now, is_clear
+        held.attempt.ended_at_s, held.attempt.has_definite_end = self.now, has_definite_end
 
     def tell_state(self, *connections: ExchangeSide) -> None:
         if self.is_hung:
@@ -274,17 +280,17 @@
         """Their ends can't be seen here while the network or the process is in trouble."""
         for call, at in self.told_at.items():
             if self.now - at < IN_FLIGHT_S:
-                self.ledger.calls[call].was_told = False
+                self.ledger.calls[call].release_was_sent = False
         self.told_at.clear()
         for held in self.held.values():
-            held.attempt.is_excused = True
+            held.attempt.is_unobservable = True
 
     def cut_calls(self) -> None:
         """The process is gone, and every call with it; nobody is told."""
         self.excuse_attempts()
         for call, held in self.held.items():
             if held.stands:
-                self.ledger.over(call, self.now, was_told=False)
+                self.ledger.record_call_over(call, self.now, release_was_sent=False)
         self.held.clear()
         self.untold.clear()
         self.waiting.clear()
