--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -333,7 +333,7 @@
         with exchange.taken():
             exchange.die()
             await asyncio.sleep(self.random.uniform(0.3, 4.0))
-            exchange.proxy.accept_again()
+            exchange.proxy.resume_accepting()
 
     async def hang(self) -> None:
         exchange = self.sound()
@@ -381,7 +381,7 @@
             watch = self.loop.create_task(self.watch_drain(exchange, seq))
             await asyncio.sleep(self.random.uniform(1.0, 5.0))
             if self.random.random() < 0.5:
-                exchange.proxy.refuse()  # it takes no more connections and ends its calls
+                exchange.proxy.refuse_connections()  # it takes no more connections and ends its calls
                 await asyncio.sleep(self.random.uniform(0.5, 2.0))
             await self.replace(exchange)
             exchange.cut_calls()
--- a/tests/standins/callers.py
+++ b/tests/standins/callers.py
@@ -9,7 +9,7 @@
 from typing import Any, cast
 
 from arrowkeel.net.codec import Decoder, Message, MessageType, Parameter, ReleaseCause, encode
-from tests.standins.fault_proxy import RESET
+from tests.standins.fault_proxy import LINGER_RESET
 from tests.standins.ledger import Ledger
 
 CROSSING_S = 0.05  # a set-up that crosses a close goes again, once
@@ -59,7 +59,7 @@
     def reset(self) -> None:
         if self.transport is not None and self.is_open:
             held = self.transport.get_extra_info("socket")
-            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.ended_here = True
             self.transport.abort()
 
--- a/tests/standins/exchange.py
+++ b/tests/standins/exchange.py
@@ -21,7 +21,7 @@
     ReleaseCause,
     encode,
 )
-from tests.standins.fault_proxy import RESET, FaultProxy
+from tests.standins.fault_proxy import LINGER_RESET, FaultProxy
 from tests.standins.ledger import Attempt, Ledger
 
 GROUP_SIZE = 400
@@ -84,7 +84,7 @@
             return
         held = self.transport.get_extra_info("socket")
         if held is not None and held.fileno() >= 0:
-            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.transport.abort()
 
 
@@ -166,7 +166,7 @@
             self.ledger.record_violation(
                 "drain", f"{self.name} has a set-up {message.call} after its drain", self.now
             )
-        is_late = self.is_waking or self.now < self.proxy.late_until
+        is_late = self.is_waking or self.now < self.proxy.late_until_s
         if message.call in self.held and not is_late:
             self.ledger.record_violation(
                 "duplicate", f"{self.name} has the set-up {message.call} twice", self.now
@@ -310,7 +310,7 @@
 
     def die(self) -> None:
         """The process ends: its connections are reset, and new ones are refused."""
-        self.proxy.refuse()
+        self.proxy.refuse_connections()
         self.cut_calls()
         for connection in list(self.connections):
             connection.reset()
