--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -167,7 +167,7 @@
             return
         old = self.change_log
         self.change_log = StandInChangeLog(self.run.events)
-        self.change_log.told_at, self.change_log.published_at = old.told_at, old.published_at
+        self.change_log.sent_at_s, self.change_log.published_at_s = old.sent_at_s, old.published_at_s
         await self.change_log.start()
         await old.set_mode(Mode.SILENT)
         self.run.loop.call_later(1.5, old.stop)
@@ -227,7 +227,7 @@
         fleet = {"generation": seq, "reset": reset, "instances": list(entries)}
         self.events.append({"seq": seq, "fleet": fleet})
         for controller in self.controllers:
-            controller.change_log.published(seq)
+            controller.change_log.announce_event(seq)
         return seq
 
     async def play(self) -> Result:
@@ -390,7 +390,7 @@
     async def watch_drain(self, exchange: StandInExchange, seq: int) -> None:
         """The rule binds once a controller counts as told; the exchange holds all to the last of them."""
         while True:
-            told = [controller.change_log.counts_as_told(seq) for controller in self.controllers]
+            told = [controller.change_log.delivery_time_s(seq) for controller in self.controllers]
             known = [at for at in told if at is not None]
             if len(known) == len(told):
                 exchange.refuses_after = max(known) + DRAIN_GRACE_S + TOLERANCE_S
