--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -106,8 +106,8 @@
                 env={**os.environ, "LB_CONFIG": str(self.config_path), "ARROWKEEL_LOG": "debug"},
             )
         await self.until_ready()
-        self.is_stopping = self.callers.excused = False
-        self.callers.is_there = True
+        self.is_stopping = self.callers.was_killed = False
+        self.callers.controller_accepts = True
 
     async def until_ready(self) -> None:
         for _ in range(int(READY_S / 0.02)):
@@ -130,7 +130,7 @@
             return
         self.is_stopping = True
         if outright:
-            self.callers.excused = True
+            self.callers.was_killed = True
             self.signal(signal.SIGKILL)
         else:
             self.signal(signal.SIGTERM)
@@ -144,13 +144,13 @@
             self.run.ledger.record_violation(
                 "crash", f"controller {self.index} ended with {self.process.returncode}", self.run.now
             )
-        self.callers.is_there = False
-        self.callers.controller_ended(outright)
+        self.callers.controller_accepts = False
+        self.callers.handle_controller_exit(outright)
         await asyncio.sleep(0.05)
         await self.start()
 
     def no_more_connections(self) -> None:
-        self.callers.is_there = False
+        self.callers.controller_accepts = False
 
     async def operator(self, call: str) -> None:
         try:
@@ -238,7 +238,7 @@
         await asyncio.gather(*(controller.start() for controller in self.controllers))
         began = self.now
         work = [
-            self.loop.create_task(each.callers.run(RATE, began + FAULTS_S + TAIL_S - 4.0))
+            self.loop.create_task(each.callers.place_calls(RATE, began + FAULTS_S + TAIL_S - 4.0))
             for each in self.controllers
         ]
         work += [self.loop.create_task(self.trouble(began)) for _ in range(3)]
@@ -417,8 +417,8 @@
     async def bad_clients(self) -> None:
         callers = self.random.choice(self.controllers).callers
         for _ in range(self.random.randrange(1, 20)):
-            callers.spawn(callers.misbehave())
+            callers.start_task(callers.send_malformed_input())
 
     async def crowd(self) -> None:
         if self.seed % 3 == 0:
-            await self.random.choice(self.controllers).callers.crowd(400)
+            await self.random.choice(self.controllers).callers.open_idle_connections(400)
