--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -293,25 +293,25 @@
 
     def sound(self) -> StandInExchange | None:
         """An exchange that no other fault has, so that each fault knows what it sees."""
-        free = [each for each in self.exchanges if not each.is_taken]
+        free = [each for each in self.exchanges if not each.has_exclusive_fault]
         return self.random.choice(free) if len(free) > 1 else None
 
     async def vanish(self) -> None:
         exchange = self.sound()
         if exchange is None:
             return
-        with exchange.taken():
+        with exchange.exclusive_fault():
             exchange.vanish()
             if self.random.random() < 0.6:
                 await asyncio.sleep(self.random.uniform(5.0, 7.0))
-                exchange.return_anew()
+                exchange.return_as_new_process()
             else:
                 await asyncio.sleep(self.random.uniform(5.3, 9.0))
                 await self.replace(exchange)
 
     async def replace(self, exchange: StandInExchange) -> None:
         """The list names another exchange in its place."""
-        fresh = StandInExchange(exchange.number, self.ledger, self.random, exchange.hold_s)
+        fresh = StandInExchange(exchange.number, self.ledger, self.random, exchange.mean_holding_s)
         await fresh.start()
         self.exchanges[self.exchanges.index(exchange)] = fresh
         self.publish(self.entry(exchange, "removed"), self.entry(fresh, "up"))
@@ -321,17 +321,17 @@
         exchange = self.sound()
         if exchange is None:
             return
-        with exchange.taken():
-            exchange.cut()
+        with exchange.exclusive_fault():
+            exchange.cut_network()
             await asyncio.sleep(self.random.uniform(0.5, 6.0))
-            exchange.heal()
+            exchange.restore_network()
 
     async def die(self) -> None:
         exchange = self.sound()
         if exchange is None:
             return
-        with exchange.taken():
-            exchange.die()
+        with exchange.exclusive_fault():
+            exchange.crash()
             await asyncio.sleep(self.random.uniform(0.3, 4.0))
             exchange.proxy.resume_accepting()
 
@@ -339,10 +339,10 @@
         exchange = self.sound()
         if exchange is None:
             return
-        with exchange.taken():
+        with exchange.exclusive_fault():
             exchange.hang()
             await asyncio.sleep(self.random.uniform(1.0, 6.0))
-            exchange.wake()
+            exchange.resume()
 
     async def resets(self) -> None:
         for _ in range(self.random.randrange(1, 5)):
@@ -353,9 +353,9 @@
 
     async def spoil(self) -> None:
         exchange = self.random.choice(self.exchanges)
-        exchange.spoils = True
+        exchange.corrupts_answers = True
         await asyncio.sleep(self.random.uniform(0.5, 2.0))
-        exchange.spoils = False
+        exchange.corrupts_answers = False
 
     async def late_connections(self) -> None:
         exchange = self.random.choice(self.exchanges)
@@ -376,7 +376,7 @@
         exchange = self.sound()
         if exchange is None:
             return
-        with exchange.taken():
+        with exchange.exclusive_fault():
             seq = self.publish(self.entry(exchange, "draining"))
             watch = self.loop.create_task(self.watch_drain(exchange, seq))
             await asyncio.sleep(self.random.uniform(1.0, 5.0))
@@ -384,7 +384,7 @@
                 exchange.proxy.refuse_connections()  # it takes no more connections and ends its calls
                 await asyncio.sleep(self.random.uniform(0.5, 2.0))
             await self.replace(exchange)
-            exchange.cut_calls()
+            exchange.lose_process()
             watch.cancel()
 
     async def watch_drain(self, exchange: StandInExchange, seq: int) -> None:
@@ -393,7 +393,7 @@
             told = [controller.change_log.delivery_time_s(seq) for controller in self.controllers]
             known = [at for at in told if at is not None]
             if len(known) == len(told):
-                exchange.refuses_after = max(known) + DRAIN_GRACE_S + TOLERANCE_S
+                exchange.set_up_deadline_s = max(known) + DRAIN_GRACE_S + TOLERANCE_S
             await asyncio.sleep(0.05)
 
     async def reload(self) -> None:
