--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: the real program under seeded mixes of faults, between stand-ins on loopback."""
+"""The soak: the real program under seeded random faults, between stand-ins of its peers on loopback."""
--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -1,4 +1,9 @@
-"""One seeded run: a real controller, stand-ins of all that they talk to, and faults in a dense series."""
+"""One seeded run of the soak: the real program between stand-ins, under a dense series of random faults.
+
+The seed determines the sequence of random decisions; their moments depend on the real clock, so two runs of
+one seed are similar and not equal. A run offers calls throughout and reports each violation of the protocol's
+rules.
+"""
 
 from __future__ import annotations
 
@@ -18,42 +23,54 @@
 from tests.standins.exchange import StandInExchange
 from tests.standins.ledger import DRAIN_GRACE_S, TOLERANCE_S, Ledger
 
-CONTROLLERS, EXCHANGES = 1, 4
-FAULTS_S = 12.0  # faults begin within so long
-TAIL_S = 9.5  # after the last fault: the longest limit, and a little
-RATE = 45.0  # calls a second
-KILL_S = 3.7  # SIGKILL after SIGTERM: the longest deadline and 0.7 s
-READY_S = 20.0
-FIRST_PORT, PORT_RANGES, PORTS_EACH = 12_000, 500, 40
-CLASS = {"onTimeNs": 1_500_000_000, "deadlineNs": 3_000_000_000, "stream": True}
+# Processes of the program, and exchanges that are listed at a time.
+CONTROLLER_COUNT, EXCHANGE_COUNT = 1, 4
+# Faults begin within this time from the start of the run.
+FAULT_PERIOD_S = 12.0
+# Time after the last fault: somewhat more than the longest limit that the ledger checks.
+SETTLE_S = 9.5
+# Mean rate at which the callers of each controller place calls.
+CALLS_PER_S = 45.0
+# Time from SIGTERM to SIGKILL: the longest deadline of a call, and 0.7 s.
+TERMINATION_LIMIT_S = 3.7
+# A controller must accept connections within this time from its start.
+START_LIMIT_S = 20.0
+# Ports of the controllers: the process id chooses one of the ranges, which begin at the first port.
+FIRST_PORT, PORT_RANGE_COUNT, PORTS_PER_RUN = 12_000, 500, 40
+# Settings that both classes of call share.
+CLASS_SETTINGS = {"onTimeNs": 1_500_000_000, "deadlineNs": 3_000_000_000, "stream": True}
 
 
 @dataclass
-class Result:
-    """What one run came to."""
+class RunResult:
+    """Rule violations of one run, numbers of calls by outcome, and the faults with their start times."""
 
     seed: int
-    breaches: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=dict)
     faults: list[str] = field(default_factory=list)
 
 
 def free_port(offset: int) -> int:
-    """A port below those that the system picks, apart from those of runs in other processes."""
-    first = FIRST_PORT + os.getpid() % PORT_RANGES * PORTS_EACH + offset
-    for port in range(first, first + PORTS_EACH, 4):
+    """Returns a free port below the range from which the system picks ports.
+
+    The process id chooses the range of ports, so that runs in other processes rarely share it. Offsets from 0
+    to 3 never yield the same port. Raises RuntimeError if no port is free.
+    """
+    first = FIRST_PORT + os.getpid() % PORT_RANGE_COUNT * PORTS_PER_RUN + offset
+    for port in range(first, first + PORTS_PER_RUN, 4):
         try:
             with socket.create_server(("127.0.0.1", port)):
                 return port
         except OSError:
             continue
-    raise RuntimeError(f"no free port from {first} on")
+    raise RuntimeError(f"no free port in the run's range from {first} on")
 
 
 class ControllerProcess:
-    """One controller: the real program, its change log and its callers."""
+    """One process of the real program, with the stand-ins for its change log and its callers."""
 
-    def __init__(self, index: int, run: Run) -> None:
+    def __init__(self, index: int, run: SoakRun) -> None:
         self.index, self.run = index, run
         self.log_path = run.folder / f"controller-{index}.log"
         self.config_path = run.folder / f"controller-{index}.json"
@@ -63,9 +80,10 @@
         self.callers = StandInCallers(index, numbers, run.ledger, run.random)
         self.callers.address = ("127.0.0.1", self.port)
         self.process: asyncio.subprocess.Process | None = None
-        self.is_stopping = False
+        self.is_stopping = False  # a restart is in progress
 
     def write_config(self) -> None:
+        """Writes the configuration file, which names the current change log and all events so far."""
         config = {
             "name": f"n{self.index}",
             "listen": f"127.0.0.1:{self.port}",
@@ -75,9 +93,9 @@
             "changelog": self.change_log.address,
             "known": {"seq": self.run.events[-1]["seq"], "results": self.run.events},
             "settings": {
-                "classes": [{"name": "voice", **CLASS}, {"name": "data", **CLASS}],
+                "classes": [{"name": "voice", **CLASS_SETTINGS}, {"name": "data", **CLASS_SETTINGS}],
                 "familyInfo": {"ownNumber": 0, "layout": "network", "guardNs": 200_000_000},
-                "groupSize": CONTROLLERS,
+                "groupSize": CONTROLLER_COUNT,
                 "permissions": {
                     "tryLimit": 4,
                     "maxOpen": 2000,
@@ -92,6 +110,7 @@
         self.config_path.write_text(json.dumps(config))
 
     async def start(self) -> None:
+        """Starts the process with a fresh configuration, and waits until it accepts connections."""
         await self.change_log.set_mode(self.change_log.mode if self.change_log.port else Mode.UP)
         if not self.change_log.port:
             await self.change_log.start()
@@ -105,12 +124,13 @@
                 stderr=log,
                 env={**os.environ, "LB_CONFIG": str(self.config_path), "ARROWKEEL_LOG": "debug"},
             )
-        await self.until_ready()
+        await self.wait_until_ready()
         self.is_stopping = self.callers.was_killed = False
         self.callers.controller_accepts = True
 
-    async def until_ready(self) -> None:
-        for _ in range(int(READY_S / 0.02)):
+    async def wait_until_ready(self) -> None:
+        """Waits until the controller accepts connections; it must do so within `START_LIMIT_S`."""
+        for _ in range(int(START_LIMIT_S / 0.02)):
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except OSError:
@@ -118,51 +138,67 @@
             else:
                 writer.close()
                 return
-        self.run.ledger.record_violation("start", f"controller {self.index} is not ready", self.run.now)
-
-    def signal(self, number: signal.Signals) -> None:
+        self.run.ledger.record_violation(
+            "controller start",
+            f"controller {self.index} did not accept connections after its start",
+            self.run.now_s,
+        )
+
+    def send_to_process(self, number: signal.Signals) -> None:
+        """Sends a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
-    async def restart(self, outright: bool) -> None:
-        """SIGTERM, and SIGKILL at the earliest moment; or SIGKILL at once."""
+    async def restart(self, by_sigkill: bool) -> None:
+        """Stops the process and starts it again.
+
+        It gets SIGKILL at once, or SIGTERM and, if it is still running at the earliest permitted moment,
+        SIGKILL. A process that ends by itself after SIGTERM must exit with status 0.
+        """
         if self.is_stopping or self.process is None:
             return
         self.is_stopping = True
-        if outright:
+        if by_sigkill:
             self.callers.was_killed = True
-            self.signal(signal.SIGKILL)
+            self.send_to_process(signal.SIGKILL)
         else:
-            self.signal(signal.SIGTERM)
-            self.run.loop.call_later(self.run.random.uniform(0.2, 0.4), self.no_more_connections)
+            self.send_to_process(signal.SIGTERM)
+            self.run.loop.call_later(self.run.random.uniform(0.2, 0.4), self.mark_as_not_accepting)
         try:
-            await asyncio.wait_for(self.process.wait(), KILL_S)
+            await asyncio.wait_for(self.process.wait(), TERMINATION_LIMIT_S)
         except TimeoutError:
-            self.signal(signal.SIGKILL)
+            self.send_to_process(signal.SIGKILL)
             await self.process.wait()
-        if not outright and self.process.returncode not in (0, -signal.SIGKILL):
+        if not by_sigkill and self.process.returncode not in (0, -signal.SIGKILL):
             self.run.ledger.record_violation(
-                "crash", f"controller {self.index} ended with {self.process.returncode}", self.run.now
+                "exit status",
+                f"controller {self.index} exited with status {self.process.returncode}",
+                self.run.now_s,
             )
         self.callers.controller_accepts = False
-        self.callers.handle_controller_exit(outright)
+        self.callers.handle_controller_exit(by_sigkill)
         await asyncio.sleep(0.05)
         await self.start()
 
-    def no_more_connections(self) -> None:
+    def mark_as_not_accepting(self) -> None:
+        """Makes the callers open no more connections, since the stopping controller does not accept them."""
         self.callers.controller_accepts = False
 
-    async def operator(self, call: str) -> None:
+    async def post_to_operator(self, path: str) -> None:
+        """Sends a POST request to the operators' interface; ignores that the controller cannot be reached."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.operator_port)
-            writer.write(f"POST {call} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
+            writer.write(f"POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
             await asyncio.wait_for(reader.read(), 2.0)
             writer.close()
         except OSError:
-            pass  # it is being replaced
+            pass  # the controller is being restarted
 
     async def reload(self) -> None:
-        """A new configuration moves the change log; the old one says nothing more."""
+        """Moves the change log to another address by a new configuration and SIGHUP.
+
+        The change log at the old address falls silent, and closes 1.5 s later.
+        """
         if self.is_stopping:
             return
         old = self.change_log
@@ -172,27 +208,34 @@
         await old.set_mode(Mode.SILENT)
         self.run.loop.call_later(1.5, old.stop)
         self.write_config()
-        self.signal(signal.SIGHUP)
+        self.send_to_process(signal.SIGHUP)
 
-    async def end(self) -> None:
+    async def stop_and_check(self) -> None:
+        """Kills the process and stops its change log.
+
+        The process must not have failed by itself before, and its log must not contain a traceback or the
+        error of a call that got no answer.
+        """
         if self.process is not None:
             if self.process.returncode not in (None, 0) and not self.is_stopping:
                 self.run.ledger.record_violation(
-                    "crash", f"controller {self.index} ended with {self.process.returncode}", self.run.now
+                    "exit status",
+                    f"controller {self.index} exited with status {self.process.returncode}",
+                    self.run.now_s,
                 )
-            self.signal(signal.SIGKILL)
+            self.send_to_process(signal.SIGKILL)
             await self.process.wait()
         self.change_log.stop()
         text = self.log_path.read_text()
-        for sign in ("Traceback", "call without an answer at its end"):
-            if sign in text:
+        for forbidden_text in ("Traceback", "call without an answer at its end"):
+            if forbidden_text in text:
                 self.run.ledger.record_violation(
-                    "log", f"controller {self.index} logged {sign!r}", self.run.now
+                    "controller log", f"controller {self.index} logged {forbidden_text!r}", self.run.now_s
                 )
 
 
-class Run:
-    """One seed."""
+class SoakRun:
+    """The run of one seed: controllers, exchanges, the events of the change log, and the ledger."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed, self.folder = seed, folder
@@ -200,17 +243,19 @@
         self.random, self.ledger = Random(seed), Ledger()
         self.events: list[dict[str, Any]] = []
         self.faults: list[str] = []
-        hold_s = self.random.choice([0.5, 2.0, 6.0])
+        mean_holding_s = self.random.choice([0.5, 2.0, 6.0])
         self.exchanges = [
-            StandInExchange(number, self.ledger, self.random, hold_s) for number in range(1, EXCHANGES + 1)
+            StandInExchange(number, self.ledger, self.random, mean_holding_s)
+            for number in range(1, EXCHANGE_COUNT + 1)
         ]
         self.controllers: list[ControllerProcess] = []
 
     @property
-    def now(self) -> float:
+    def now_s(self) -> float:
         return self.loop.time()
 
-    def entry(self, exchange: StandInExchange, lifecycle: str) -> dict[str, Any]:
+    def list_entry(self, exchange: StandInExchange, lifecycle: str) -> dict[str, Any]:
+        """Returns the exchange as an entry of the list that the change log serves."""
         return {
             "instanceId": exchange.name,
             "hostPort": exchange.proxy.address,
@@ -223,6 +268,7 @@
         }
 
     def publish(self, *entries: dict[str, Any], reset: bool = False) -> int:
+        """Appends an event with these entries for all change logs, and returns its sequence number."""
         seq = len(self.events) + 1
         fleet = {"generation": seq, "reset": reset, "instances": list(entries)}
         self.events.append({"seq": seq, "fleet": fleet})
@@ -230,74 +276,82 @@
             controller.change_log.announce_event(seq)
         return seq
 
-    async def play(self) -> Result:
+    async def execute(self) -> RunResult:
+        """Starts everything, offers calls under faults, lets all limits pass, and checks the ledger."""
         for exchange in self.exchanges:
             await exchange.start()
-        self.publish(*(self.entry(exchange, "up") for exchange in self.exchanges), reset=True)
-        self.controllers = [ControllerProcess(index, self) for index in range(CONTROLLERS)]
+        self.publish(*(self.list_entry(exchange, "up") for exchange in self.exchanges), reset=True)
+        self.controllers = [ControllerProcess(index, self) for index in range(CONTROLLER_COUNT)]
         await asyncio.gather(*(controller.start() for controller in self.controllers))
-        began = self.now
-        work = [
-            self.loop.create_task(each.callers.place_calls(RATE, began + FAULTS_S + TAIL_S - 4.0))
+        started_at_s = self.now_s
+        run_tasks = [
+            self.loop.create_task(
+                each.callers.place_calls(CALLS_PER_S, started_at_s + FAULT_PERIOD_S + SETTLE_S - 4.0)
+            )
             for each in self.controllers
         ]
-        work += [self.loop.create_task(self.trouble(began)) for _ in range(3)]
-        await asyncio.gather(*work)
-        await asyncio.sleep(max(0.0, began + FAULTS_S + TAIL_S - self.now))
+        run_tasks += [self.loop.create_task(self.inject_faults(started_at_s)) for _ in range(3)]
+        await asyncio.gather(*run_tasks)
+        await asyncio.sleep(max(0.0, started_at_s + FAULT_PERIOD_S + SETTLE_S - self.now_s))
         for controller in self.controllers:
             for task in list(controller.callers.tasks):
                 task.cancel()
-        self.ledger.check_unfinished_calls(self.now)
+        self.ledger.check_unfinished_calls(self.now_s)
         for controller in self.controllers:
-            await controller.end()
+            await controller.stop_and_check()
         for exchange in self.exchanges:
             exchange.stop()
-        return self.result()
+        return self.build_result()
 
-    def result(self) -> Result:
-        counts: dict[str, int] = {"cut live": self.ledger.standing_calls_released}
+    def build_result(self) -> RunResult:
+        """Returns the violations, the callers' counts summed up over all controllers, and the faults."""
+        counts: dict[str, int] = {"standing calls released": self.ledger.standing_calls_released}
         for controller in self.controllers:
             for name, count in controller.callers.counts.items():
                 counts[name] = counts.get(name, 0) + count
-        return Result(self.seed, self.ledger.violations, counts, self.faults)
+        return RunResult(self.seed, self.ledger.violations, counts, self.faults)
 
     # Faults
 
-    async def trouble(self, began: float) -> None:
-        """Faults one after another; three of these run beside each other."""
-        kinds = [
-            self.vanish,
-            self.vanish,
-            self.cut,
-            self.die,
-            self.hang,
-            self.resets,
-            self.spoil,
-            self.late_connections,
-            self.discovery,
-            self.discovery,
-            self.drain,
-            self.drain,
+    async def inject_faults(self, started_at_s: float) -> None:
+        """Injects random faults one after the other; three tasks do this at the same time."""
+        fault_methods = [
+            self.vanish_exchange,
+            self.vanish_exchange,
+            self.cut_network,
+            self.crash_exchange,
+            self.hang_exchange,
+            self.reset_connections,
+            self.corrupt_answers,
+            self.delay_accepts,
+            self.disturb_change_log,
+            self.disturb_change_log,
+            self.drain_exchange,
+            self.drain_exchange,
             self.reload,
             self.restart,
             self.restart,
-            self.standby,
-            self.bad_clients,
-            self.crowd,
+            self.switch_to_standby,
+            self.start_bad_clients,
+            self.open_idle_connections,
         ]
-        while self.now < began + FAULTS_S:
+        while self.now_s < started_at_s + FAULT_PERIOD_S:
             await asyncio.sleep(self.random.uniform(0.1, 1.0))
-            fault = self.random.choice(kinds)
-            self.faults.append(f"{self.now - began:.2f} {fault.__name__}")
+            fault = self.random.choice(fault_methods)
+            self.faults.append(f"{self.now_s - started_at_s:.2f} {fault.__name__}")
             await fault()
 
-    def sound(self) -> StandInExchange | None:
-        """An exchange that no other fault has, so that each fault knows what it sees."""
+    def pick_exchange_without_fault(self) -> StandInExchange | None:
+        """Returns a random exchange that no exclusive fault has, or None if at most one is left.
+
+        A fault has its exchange for itself, so that its effects are its own.
+        """
         free = [each for each in self.exchanges if not each.has_exclusive_fault]
         return self.random.choice(free) if len(free) > 1 else None
 
-    async def vanish(self) -> None:
-        exchange = self.sound()
+    async def vanish_exchange(self) -> None:
+        """An exchange vanishes: it returns as a new process, or the list names another in its place."""
+        exchange = self.pick_exchange_without_fault()
         if exchange is None:
             return
         with exchange.exclusive_fault():
@@ -307,18 +361,19 @@
                 exchange.return_as_new_process()
             else:
                 await asyncio.sleep(self.random.uniform(5.3, 9.0))
-                await self.replace(exchange)
-
-    async def replace(self, exchange: StandInExchange) -> None:
-        """The list names another exchange in its place."""
-        fresh = StandInExchange(exchange.number, self.ledger, self.random, exchange.mean_holding_s)
-        await fresh.start()
-        self.exchanges[self.exchanges.index(exchange)] = fresh
-        self.publish(self.entry(exchange, "removed"), self.entry(fresh, "up"))
+                await self.replace_exchange(exchange)
+
+    async def replace_exchange(self, exchange: StandInExchange) -> None:
+        """Starts another exchange and lists it in place of this one."""
+        new_exchange = StandInExchange(exchange.number, self.ledger, self.random, exchange.mean_holding_s)
+        await new_exchange.start()
+        self.exchanges[self.exchanges.index(exchange)] = new_exchange
+        self.publish(self.list_entry(exchange, "removed"), self.list_entry(new_exchange, "up"))
         self.loop.call_later(1.0, exchange.stop)
 
-    async def cut(self) -> None:
-        exchange = self.sound()
+    async def cut_network(self) -> None:
+        """The network between an exchange and the controllers is interrupted; the exchange goes on."""
+        exchange = self.pick_exchange_without_fault()
         if exchange is None:
             return
         with exchange.exclusive_fault():
@@ -326,8 +381,9 @@
             await asyncio.sleep(self.random.uniform(0.5, 6.0))
             exchange.restore_network()
 
-    async def die(self) -> None:
-        exchange = self.sound()
+    async def crash_exchange(self) -> None:
+        """The process of an exchange ends; a new one accepts connections at the same address."""
+        exchange = self.pick_exchange_without_fault()
         if exchange is None:
             return
         with exchange.exclusive_fault():
@@ -335,8 +391,9 @@
             await asyncio.sleep(self.random.uniform(0.3, 4.0))
             exchange.proxy.resume_accepting()
 
-    async def hang(self) -> None:
-        exchange = self.sound()
+    async def hang_exchange(self) -> None:
+        """An exchange stops handling messages for a while."""
+        exchange = self.pick_exchange_without_fault()
         if exchange is None:
             return
         with exchange.exclusive_fault():
@@ -344,26 +401,30 @@
             await asyncio.sleep(self.random.uniform(1.0, 6.0))
             exchange.resume()
 
-    async def resets(self) -> None:
+    async def reset_connections(self) -> None:
+        """Single connections of reachable exchanges are reset."""
         for _ in range(self.random.randrange(1, 5)):
             exchange = self.random.choice(self.exchanges)
             if exchange.connections and exchange.is_reachable:
                 self.random.choice(exchange.connections).reset()
             await asyncio.sleep(self.random.uniform(0.0, 0.3))
 
-    async def spoil(self) -> None:
+    async def corrupt_answers(self) -> None:
+        """An exchange sends some malformed, incomplete and duplicate answers."""
         exchange = self.random.choice(self.exchanges)
         exchange.corrupts_answers = True
         await asyncio.sleep(self.random.uniform(0.5, 2.0))
         exchange.corrupts_answers = False
 
-    async def late_connections(self) -> None:
+    async def delay_accepts(self) -> None:
+        """Connections to an exchange come up late."""
         exchange = self.random.choice(self.exchanges)
         exchange.proxy.accept_delay_s = self.random.uniform(0.1, 1.0)
         await asyncio.sleep(self.random.uniform(0.5, 2.0))
         exchange.proxy.accept_delay_s = 0.0
 
-    async def discovery(self) -> None:
+    async def disturb_change_log(self) -> None:
+        """A change log refuses connections, stays silent or answers late."""
         change_log = self.random.choice(self.controllers).change_log
         mode = self.random.choice([Mode.DOWN, Mode.SILENT, Mode.SLOW])
         await change_log.set_mode(mode)
@@ -371,54 +432,62 @@
         if change_log in [controller.change_log for controller in self.controllers]:
             await change_log.set_mode(Mode.UP)
 
-    async def drain(self) -> None:
-        """An exchange drains, is replaced, and its process ends."""
-        exchange = self.sound()
+    async def drain_exchange(self) -> None:
+        """An exchange is listed as draining, at times refuses new connections, is replaced, and ends."""
+        exchange = self.pick_exchange_without_fault()
         if exchange is None:
             return
         with exchange.exclusive_fault():
-            seq = self.publish(self.entry(exchange, "draining"))
-            watch = self.loop.create_task(self.watch_drain(exchange, seq))
+            seq = self.publish(self.list_entry(exchange, "draining"))
+            drain_task = self.loop.create_task(self.enforce_drain(exchange, seq))
             await asyncio.sleep(self.random.uniform(1.0, 5.0))
             if self.random.random() < 0.5:
-                exchange.proxy.refuse_connections()  # it takes no more connections and ends its calls
+                exchange.proxy.refuse_connections()  # open connections and calls go on
                 await asyncio.sleep(self.random.uniform(0.5, 2.0))
-            await self.replace(exchange)
+            await self.replace_exchange(exchange)
             exchange.lose_process()
-            watch.cancel()
+            drain_task.cancel()
+
+    async def enforce_drain(self, exchange: StandInExchange, seq: int) -> None:
+        """Sets the exchange's deadline for set-ups once the event counts as delivered to every controller.
 
-    async def watch_drain(self, exchange: StandInExchange, seq: int) -> None:
-        """The rule binds once a controller counts as told; the exchange holds all to the last of them."""
+        The drain rule binds each controller from its own delivery; the exchange measures all by the last one.
+        """
         while True:
-            told = [controller.change_log.delivery_time_s(seq) for controller in self.controllers]
-            known = [at for at in told if at is not None]
-            if len(known) == len(told):
-                exchange.set_up_deadline_s = max(known) + DRAIN_GRACE_S + TOLERANCE_S
+            delivery_times_s = [controller.change_log.delivery_time_s(seq) for controller in self.controllers]
+            delivered_s = [time_s for time_s in delivery_times_s if time_s is not None]
+            if len(delivered_s) == len(delivery_times_s):
+                exchange.set_up_deadline_s = max(delivered_s) + DRAIN_GRACE_S + TOLERANCE_S
             await asyncio.sleep(0.05)
 
     async def reload(self) -> None:
+        """A controller is reconfigured one to three times in quick succession."""
         controller = self.random.choice(self.controllers)
         for _ in range(self.random.randrange(1, 4)):
             await controller.reload()
             await asyncio.sleep(self.random.uniform(0.05, 0.6))
 
     async def restart(self) -> None:
+        """A controller is restarted once or twice, at times with SIGKILL."""
         controller = self.random.choice(self.controllers)
         for _ in range(self.random.randrange(1, 3)):
-            await controller.restart(outright=self.random.random() < 0.2)
+            await controller.restart(by_sigkill=self.random.random() < 0.2)
             await asyncio.sleep(self.random.uniform(0.1, 0.5))
 
-    async def standby(self) -> None:
+    async def switch_to_standby(self) -> None:
+        """A controller is put on standby for a while."""
         controller = self.random.choice(self.controllers)
-        await controller.operator("/standby")
+        await controller.post_to_operator("/standby")
         await asyncio.sleep(self.random.uniform(1.0, 5.0))
-        await controller.operator("/active")
+        await controller.post_to_operator("/active")
 
-    async def bad_clients(self) -> None:
+    async def start_bad_clients(self) -> None:
+        """Clients send malformed input to a controller."""
         callers = self.random.choice(self.controllers).callers
         for _ in range(self.random.randrange(1, 20)):
             callers.start_task(callers.send_malformed_input())
 
-    async def crowd(self) -> None:
+    async def open_idle_connections(self) -> None:
+        """Many idle connections are opened to a controller; only seeds divisible by 3 do this."""
         if self.seed % 3 == 0:
             await self.random.choice(self.controllers).callers.open_idle_connections(400)
