--- a/tests/soak/scenario.py
+++ b/tests/soak/scenario.py
@@ -252,6 +252,7 @@
 
     @property
     def now_s(self) -> float:
+        """The event loop's clock."""
         return self.loop.time()
 
     def list_entry(self, exchange: StandInExchange, lifecycle: str) -> dict[str, Any]:
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems and the network between them, for tests on loopback addresses."""
+"""Stand-ins for the program's peers and the network between them, for tests on loopback addresses."""
--- a/tests/standins/callers.py
+++ b/tests/standins/callers.py
@@ -50,6 +50,7 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether the connection is established and not being closed."""
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -93,6 +94,7 @@
 
     @property
     def now_s(self) -> float:
+        """The event loop's clock."""
         return self.loop.time()
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
--- a/tests/standins/change_log.py
+++ b/tests/standins/change_log.py
@@ -70,6 +70,7 @@
 
     @property
     def address(self) -> str:
+        """The address HOST:PORT at which controllers reach the change log."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
--- a/tests/standins/exchange.py
+++ b/tests/standins/exchange.py
@@ -38,6 +38,7 @@
 REFUSED_SHARE, FAILED_SHARE, IGNORED_SHARE = 0.04, 0.07, 0.09
 # What was written at most this long before a failure may not have arrived.
 IN_FLIGHT_S = 0.05
+# Numbers the exchanges of the process, so that each name is used once.
 name_serials = itertools.count(1)
 
 
@@ -61,6 +62,7 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether the connection is established and not being closed."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
@@ -126,6 +128,7 @@
 
     @property
     def now_s(self) -> float:
+        """The event loop's clock."""
         return self.loop.time()
 
     @property
--- a/tests/standins/fault_proxy.py
+++ b/tests/standins/fault_proxy.py
@@ -73,6 +73,7 @@
         self.program_end.opposite, self.peer_end.opposite = self.peer_end, self.program_end
 
     def reset_program_socket(self) -> None:
+        """Resets the connection to the program, since the peer cannot be reached."""
         self.program_end.reset()
 
     def close(self) -> None:
@@ -96,6 +97,7 @@
         # Sockets that closed while the network was interrupted: the opposite ones learn of it in `heal`.
         self.deferred_closes: list[tuple[ProxiedConnection, ProxiedSocket, Exception | None]] = []
         self.fillers: list[socket.socket] = []
+        # Local ports of the fillers, so that `accept_connections` recognizes and drops them.
         self.filler_ports: set[int] = set()
         self.is_cut = False
         self.late_until_s = 0.0  # loop time until which arriving data may have been written long before
@@ -104,12 +106,14 @@
 
     @staticmethod
     def open_listener(port: int) -> socket.socket:
+        """Returns a listening socket at this port of the loopback address, or at a free port for 0."""
         listener = socket.create_server(("127.0.0.1", port), backlog=128)
         listener.setblocking(False)
         return listener
 
     @property
     def address(self) -> str:
+        """The address HOST:PORT at which the program reaches the peer through the proxy."""
         return f"{self.host}:{self.port}"
 
     def start(self) -> None:
