--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -119,8 +119,8 @@
 class CallerConnection(MessageConnection):
     """One connection from callers; the reply to a set-up goes out on the connection that brought it."""
 
-    def __init__(self, handler: CallerHandler, unsent_limit: int) -> None:
-        super().__init__("caller", unsent_limit)
+    def __init__(self, handler: CallerHandler, unsent_limit_bytes: int) -> None:
+        super().__init__("caller", unsent_limit_bytes)
         self.handler = handler
         self.open_calls: set[str] = set()  # set up here, without their final answer yet
         self.standing_calls: set[str] = set()  # set up here, answered and not over
@@ -249,5 +249,7 @@
         if self.closing_since_ns:
             return {}  # closed here, after everything written had been sent
         return {
-            call: release.cause for call, release in self.sent_releases.items() if release.sent_ns > since_ns
+            call: release.cause
+            for call, release in self.sent_releases.items()
+            if release.sent_at_ns > since_ns
         }
--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -65,7 +65,7 @@
     """A release written to a connection, kept to be sent again if the connection loses it."""
 
     cause: int
-    sent_ns: int  # when it was written
+    sent_at_ns: int  # when it was written
 
 
 class MessageConnection(asyncio.Protocol):
--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -168,7 +168,7 @@
         self.unconfirmed_releases = {
             call: release
             for call, release in self.unconfirmed_releases.items()
-            if self.last_received_at_ns - release.sent_ns < RESPONSE_TIMEOUT_NS
+            if self.last_received_at_ns - release.sent_at_ns < RESPONSE_TIMEOUT_NS
         }
         self.events.message_received(self)
 
