--- a/arrowkeel/net/codec.py
+++ b/arrowkeel/net/codec.py
@@ -45,7 +45,7 @@
     NOTE = 78  # why an exchange rejected a set-up, in more detail than CAUSE
     REPORT = 82  # name:value pairs with the load of an exchange and the state of its circuit group
     CAUSE = 92  # one byte: a ReleaseCause, or the result of a test
-    DESCRIPTION = 94  # media description; opaque bytes that are passed on unchanged
+    DESCRIPTION = 94  # opaque description of the call, passed on unchanged
 
 
 class ReleaseCause(IntEnum):
