--- a/arrowkeel/net/connection.py
+++ b/arrowkeel/net/connection.py
@@ -48,12 +48,12 @@
 
     def write(self, write_entry: Callable[..., Any], event: str, fields: dict[str, Any]) -> None:
         """Writes the entry, or counts it if the event was written less than an interval ago."""
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         written_at_ns, left_out = self.last_entries.get(event, (-LOG_INTERVAL_NS, 0))
-        if now - written_at_ns < LOG_INTERVAL_NS:
+        if now_ns - written_at_ns < LOG_INTERVAL_NS:
             self.last_entries[event] = (written_at_ns, left_out + 1)
             return
-        self.last_entries[event] = (now, 0)
+        self.last_entries[event] = (now_ns, 0)
         write_entry(event, left_out=left_out, **fields)
 
 
@@ -116,7 +116,7 @@
             self.incomplete_since_ns = time.monotonic_ns()
 
     def handle_protocol_error(self, reason: str) -> None:
-        """Closes the connection: after malformed input, message boundaries can't be found any more."""
+        """Closes the connection: after malformed input, message boundaries can't be relied on any more."""
         log.warning(
             "malformed message, connection closed", side=self.peer_name, connection=self.number, reason=reason
         )
