--- a/arrowkeel/net/caller_connections.py
+++ b/arrowkeel/net/caller_connections.py
@@ -124,9 +124,9 @@
 
         `connection` is where the call was set up. If it is closed, another connection that has carried
         calls is used, the one that received data last first; if there is none, the release waits for the
-        next one. Connections that have carried no call are left out: a client that sends nothing does not
-        act on a release, nor does the front, which only tests whether calls are accepted and passes
-        releases to nobody.
+        next one, or is dropped if too many are waiting. Connections that have carried no call are left out:
+        a client that sends nothing does not act on a release. Neither does a front-end process that only
+        tests whether the controller accepts calls: it passes releases to nobody.
         """
         if connection is not None and connection.is_open and connection.send_standing_release(call, cause):
             return
--- a/arrowkeel/net/callers.py
+++ b/arrowkeel/net/callers.py
@@ -52,7 +52,7 @@
     redial: bool
     transit: bool
     was_interrupted: bool  # the call is set up again after an interruption
-    description: bytes  # media description, passed on unchanged
+    description: bytes  # of the call, opaque; passed on unchanged
 
 
 class CallerHandler(Protocol):
@@ -196,6 +196,7 @@
 
     @property
     def first_set_up_timeout_ns(self) -> int:
+        """How long the connection may bring no valid set-up; longer while a message is incomplete."""
         return INCOMPLETE_MESSAGE_TIMEOUT_NS if self.incomplete_since_ns else FIRST_SET_UP_TIMEOUT_NS
 
     def sweep(self, now_ns: int) -> None:
@@ -222,6 +223,7 @@
         self.write(encode(MessageType.RELEASE, call, parameters))
 
     def send_failure(self, call: str) -> None:
+        """Sends the final answer of a failed call: a release with the cause of a temporary failure."""
         self.send_release(call, ReleaseCause.TEMPORARY_FAILURE)
 
     def send_release(self, call: str, cause: int) -> bool:
