--- a/arrowkeel/net/exchange_connection.py
+++ b/arrowkeel/net/exchange_connection.py
@@ -120,7 +120,8 @@
     def send_set_up(self, request: SetUpRequest, now_ns: int) -> bool:
         """Sends a set-up and returns whether it was written.
 
-        The set-up counts as open on this connection in any case, until the connection ends.
+        Even if it was not, the set-up counts as open on this connection: the end of the connection, which
+        follows, then ends the attempt.
         """
         self.open_set_ups.add(request.call)
         self.awaiting_since_ns = self.awaiting_since_ns or now_ns
@@ -163,7 +164,10 @@
                 raise MalformedMessageError(f"type {message.type} is not sent by exchanges")
 
     def record_received(self) -> None:
-        """Notes that a message was received: the connection works, and earlier output has arrived."""
+        """Notes that a message was received: the connection works.
+
+        Releases that were sent RESPONSE_TIMEOUT_NS ago or earlier count as arrived and are not kept.
+        """
         self.last_received_at_ns, self.awaiting_since_ns = time.monotonic_ns(), 0
         self.unconfirmed_releases = {
             call: release
--- a/arrowkeel/net/exchange_pool.py
+++ b/arrowkeel/net/exchange_pool.py
@@ -121,13 +121,13 @@
 
     def usable_connections(self) -> list[ExchangeConnection]:
         """The connections that are open and not unresponsive."""
-        now = time.monotonic_ns()
-        return [each for each in self.connections if each.is_open and not each.is_unresponsive(now)]
+        now_ns = time.monotonic_ns()
+        return [each for each in self.connections if each.is_open and not each.is_unresponsive(now_ns)]
 
     # Dials
 
     def dial(self) -> None:
-        """Starts a dial at once, unless one is in progress or the maximum number of connections is open."""
+        """Starts a dial at once, unless the pool is closed, already dials or is at its maximum size."""
         if (
             self.is_closed
             or self.dial_task is not None
@@ -199,17 +199,17 @@
         queued, self.queued_set_ups = self.queued_set_ups, {}
         for call in queued:
             self.handler.attempt_ended(call, it.Ending.NO_CONNECTION)
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         if failure is DialFailure.TIMED_OUT:
             self.liveness.record_dial_timeout()
-        if failure is DialFailure.REFUSED and self.record_refusal(now):
+        if failure is DialFailure.REFUSED and self.record_refusal(now_ns):
             # The exchange is idle, not lost: the next dial is due if it still is after MAX_IDLE_NS.
-            self.refusal_evidence_at_ns = now
+            self.refusal_evidence_at_ns = now_ns
             return
         if (
             failure is DialFailure.REFUSED
             and self.lost_at_ns
-            and now - self.lost_at_ns > PROCESS_DEAD_AFTER_NS
+            and now_ns - self.lost_at_ns > PROCESS_DEAD_AFTER_NS
         ):
             # The process has died, so the exchange will never release its calls: the controller has to.
             self.lost_at_ns = 0
@@ -231,9 +231,9 @@
 
         The set-ups may have reached the exchange. The connection is replaced.
         """
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         by_peer = loss in (ConnectionLoss.CLOSED_BY_PEER, ConnectionLoss.RESET)
-        self.liveness.remove_connection(connection.number, now, by_peer)
+        self.liveness.remove_connection(connection.number, now_ns, by_peer)
         if connection not in self.connections:
             return
         self.connections.remove(connection)
@@ -251,9 +251,9 @@
         for call, cause in lost_releases.items():
             self.release(call, cause)
         if not self.connections:
-            self.lost_at_ns = now
+            self.lost_at_ns = now_ns
         if len(self.connections) < CONNECTIONS_PER_EXCHANGE:
-            self.replace_lost_connection(now)
+            self.replace_lost_connection(now_ns)
 
     def replace_lost_connection(self, now_ns: int) -> None:
         """Dials at once, or after a delay if a connection was established only a short time ago.
@@ -301,7 +301,7 @@
 
         The exchange reports each state on every connection: one that lacks what another has received becomes
         unresponsive. The controller receives each state once: a second copy would undo the circuits that the
-        decisions have subtracted for set-ups since.
+        policy has subtracted for set-ups since.
         """
         if report is not None and report.free_circuits is not None and report.group_size:
             state = GroupState(report.free_circuits, report.group_size)
@@ -383,15 +383,15 @@
     def send_request(self, request: SetUpRequest, connection: ExchangeConnection) -> None:
         """Sends a set-up on this connection, unless it is too late for it."""
         # A set-up that was queued here must not be sent after its caller has stopped waiting.
-        now = time.monotonic_ns()
-        if request.abandon_at_ns - now < MS:
+        now_ns = time.monotonic_ns()
+        if request.abandon_at_ns - now_ns < MS:
             self.handler.attempt_ended(request.call, it.Ending.NOT_SENT)
             return
         # A release of an earlier attempt must not be sent again after this set-up: it would end this call.
         self.waiting_releases.pop(request.call, None)
         for other in self.connections:
             other.unconfirmed_releases.pop(request.call, None)
-        if connection.send_set_up(request, now):
+        if connection.send_set_up(request, now_ns):
             self.handler.set_up_sent()
 
     def resubmit_queued_set_ups(self) -> None:
@@ -412,7 +412,10 @@
         return True
 
     def release(self, call: str, cause: int, connection: ExchangeConnection | None = None) -> None:
-        """Releases a call at the exchange, on that connection or any; it waits until there is one."""
+        """Releases a call at the exchange, on that connection or any.
+
+        It waits until there is one, or is dropped if too many are waiting.
+        """
         connection = connection or next(iter(self.usable_connections()), None)
         if connection is not None and connection.send_release(call, cause, self.bounds.max_table_entries):
             return
