--- a/arrowkeel/net/config.py
+++ b/arrowkeel/net/config.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeEntry:
-    """One exchange of an event: its entry for the decision module, and the address that it listens on."""
+    """One exchange of an event: its entry for the policy, and the address that it listens on."""
 
     listed: it.ListedExchange
     address: Address | None  # None only where the exchange is removed
@@ -137,7 +137,7 @@
     # The descriptor of a listening socket that whoever started the process has opened and keeps open for its
     # successor; None where the program opens `listen` itself.
     accept_fd: int | None
-    seed: int  # of the decisions' random numbers
+    seed: int  # of the policy's random numbers
     bounds: Bounds
     changelog: Address  # where the events of the exchange list come from
     initial_updates: tuple[ListUpdate, ...]  # the events of the exchange list that the file holds
--- a/arrowkeel/net/controller.py
+++ b/arrowkeel/net/controller.py
@@ -1,6 +1,6 @@
 """The controller: passes events to the policy in batches and carries out the actions that it returns.
 
-It keeps each call's record up to date, and sends what the call's peers must receive about it.
+It keeps each call's record up to date, and sends what its caller and its exchange must receive about it.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
     # Start, reload, shutdown
 
     async def start(self) -> None:
-        """Applies the known list and starts the change log; returns once each exchange was dialled.
+        """Applies the known exchange list and starts the change log; returns once each exchange was dialled.
 
         The outcome of the dials does not matter.
         """
@@ -519,5 +519,5 @@
             self.released_by_exchange(pool, call, ReleaseCause.TEMPORARY_FAILURE, None)
 
     def exchange_list_changed(self, event: it.ExchangeList) -> None:
-        """Reports a change of the list of exchanges to the policy."""
+        """Reports a change of the exchange list to the policy."""
         self.queue_event(event)
--- a/arrowkeel/net/membership.py
+++ b/arrowkeel/net/membership.py
@@ -22,7 +22,7 @@
 class MembershipHandler(ExchangeHandler, Protocol):
     """Receives the consequences of a changed exchange list; the controller implements it."""
 
-    # Passes the event on to the decision module.
+    # Passes the event on to the policy.
     def exchange_list_changed(self, event: it.ExchangeList) -> None: ...
 
     # Releases the standing calls that were established before that moment, because their process is gone.
@@ -47,7 +47,7 @@
         return next((pool for pool in self.pools.values() if pool.is_open), None)
 
     def shut_down(self) -> None:
-        """Closes every connection at the end of the program, after what was written has left."""
+        """Closes every connection at the end of the program, once what was written has been sent."""
         for pool in self.pools.values():
             pool.close_gracefully()
 
--- a/arrowkeel/net/metrics.py
+++ b/arrowkeel/net/metrics.py
@@ -19,7 +19,7 @@
 class ReleaseReason(Enum):
     """Why a standing call was released though its exchange sent no release; label of `standing_released`."""
 
-    DELISTED = "delisted"  # the list of exchanges says that the exchange is gone or replaced
+    DELISTED = "delisted"  # the exchange list says that the exchange is gone or replaced
     RESTARTED = "restarted"  # the list says that the exchange's process started after the call was answered
     LEASE_EXPIRED = "lease_expired"  # for too long there was no evidence that the process holding it is alive
     REFUSING = "refusing"  # the exchange's connections were lost and new ones are refused
