--- a/arrowkeel/net/changelog.py
+++ b/arrowkeel/net/changelog.py
@@ -81,7 +81,7 @@
                     self.is_first_line = False
         except MalformedListUpdateError as error:
             log.warning(
-                "malformed change-log line, reconnecting", reason=str(error), last=self.client.last_seq
+                "malformed change log line, reconnecting", reason=str(error), last=self.client.last_seq
             )
             self.drop()
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -306,12 +306,12 @@
     program.publish(change_event(2, instance_entry("x2", 2, other_exchange.address)))
     other_exchange.opened_connections.get(timeout=20)
     program.changelog_connection.socket.sendall(b"{not json\n")
-    program.wait_for_log("malformed change-log line")
+    program.wait_for_log("malformed change log line")
     program.changelog_connection.socket = program.changelog_listener.accept()
     assert program.changelog_connection.socket.recv(100) == b"since 2\n"
     # Event 3 is missing.
     program.publish({"seq": 2}, change_event(4, instance_entry("x2", 2, other_exchange.address, "removed")))
-    program.wait_for_log("malformed change-log line")
+    program.wait_for_log("malformed change log line")
     reconnected = program.changelog_listener.accept()
     assert reconnected.recv(100) == b"since 2\n"
     program.connect_caller().set_up(destination=2)
