--- a/arrowkeel/__main__.py
+++ b/arrowkeel/__main__.py
@@ -68,9 +68,8 @@
 
 def main() -> int:
     """Runs the program and returns its exit status."""
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # the default would end the process; `serve` sets the handler
+    # By default SIGHUP would end the process; `serve` sets the handler.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     level = logging.DEBUG if os.environ.get("ARROWKEEL_LOG") == "debug" else logging.INFO
     structlog.configure(
         processors=[
