--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -18,6 +18,7 @@
 from tests.peers import CALL, OTHER, TIMEOUT_S, Peer, Program, running_program
 
 THIRD = "00000000000000c3"
+# Metrics whose lines must keep this form and this order.
 EARLIER_METRICS = {
     "controller.passed.voice",
     "controller.dropped.voice",
