--- a/tests/standins/fault_proxy.py
+++ b/tests/standins/fault_proxy.py
@@ -86,7 +86,7 @@
 class FaultProxy:
     """Forwards connections to `target`, and injects faults on request.
 
-    All methods must be called in the proxy's event loop; `threaded` gives other threads a way to do so.
+    All methods must be called in the proxy's event loop; `proxy_in_thread` lets other threads do so.
     """
 
     def __init__(self, target: tuple[str, int]) -> None:
@@ -226,7 +226,7 @@
 
 
 @contextlib.contextmanager
-def threaded(target: str) -> Iterator[tuple[FaultProxy, Callable[[Callable[[], None]], None]]]:
+def proxy_in_thread(target: str) -> Iterator[tuple[FaultProxy, Callable[[Callable[[], None]], None]]]:
     """Runs a proxy to the address `target` in a thread with its own event loop.
 
     Yields the proxy and a function that runs one of the proxy's methods in that loop and waits for its end.
--- a/tests/test_vanished_exchange.py
+++ b/tests/test_vanished_exchange.py
@@ -15,7 +15,7 @@
 
 from arrowkeel.net.codec import MessageType, Parameter, ReleaseCause
 from tests.peers import CALL, OTHER, Peer, Program, event, instance, running
-from tests.standins.fault_proxy import FaultProxy, threaded
+from tests.standins.fault_proxy import FaultProxy, proxy_in_thread
 
 RELEASE_LIMIT_S = 8.0  # the protocol's limit from a call's end to the release towards its caller
 Network = tuple[FaultProxy, Callable[[Callable[[], None]], None]]
@@ -25,7 +25,7 @@
 def program_behind_proxy(tmp_path: Path) -> Iterator[tuple[Program, Network]]:
     """The program, with a fault proxy between it and its exchange."""
     program = Program(tmp_path)
-    with threaded(program.exchange.address) as network:
+    with proxy_in_thread(program.exchange.address) as network:
         known = [event(1, instance("far", 1, network[0].address), reset=True)]
         with running(tmp_path, program, known={"seq": 1, "results": known}):
             yield program, network
